--- a/src/cell/advice_lanes.cpp
+++ b/src/cell/advice_lanes.cpp
@@ -33,8 +33,8 @@
   dispatch();
 }
 
-void AdviceLanes::add(Effects::Ask Question) {
-  const Entry Place{Question.Late, Question.Priority, ++NextNumber};
+void AdviceLanes::add(Effects::AdviceRequest Question) {
+  const Entry Place{Question.IsLate, Question.Priority, ++NextNumber};
   Queue.emplace(Place, Waiting{std::move(Question), Time.Now(), 0});
   dispatch();
 }
@@ -45,7 +45,9 @@
   Queue.clear();
 }
 
-bool AdviceLanes::isHeavy(const Effects::Ask &Question) const { return Question.Expected > Heavy; }
+bool AdviceLanes::isHeavy(const Effects::AdviceRequest &Question) const {
+  return Question.ExpectedTime > Heavy;
+}
 
 size_t AdviceLanes::heavyLimit() const {
   return Lanes.size() > LightLanes ? Lanes.size() - LightLanes : 1;
@@ -86,7 +88,7 @@
 
 Awaitable<void> AdviceLanes::ask(std::string Name, Waiting What) {
   const auto Lives = Alive;
-  const Milliseconds Timeout = What.Question.Expected * 3 / 2 + Slack;
+  const Milliseconds Timeout = What.Question.ExpectedTime * 3 / 2 + Slack;
   Result<Advice> Answer = co_await Ask(Name, What.Question.Step, What.Question.Workers, Timeout);
   if (!*Lives)
     co_return;
@@ -99,7 +101,7 @@
   else
     Used.NotBefore = Time.Now() + LanePause * (1 << std::min(Used.FailuresInARow++, MostDoublings));
   if (!ok(Answer) && ++What.Tries < MaxTries && Lanes.size() > 1) {
-    const Entry Place{What.Question.Late, What.Question.Priority, ++NextNumber};
+    const Entry Place{What.Question.IsLate, What.Question.Priority, ++NextNumber};
     Queue.emplace(Place, std::move(What));
   } else {
     OnAnswer(What.Question, Answer, Name, Time.Now() - What.Since);
--- a/src/cell/advice_lanes.h
+++ b/src/cell/advice_lanes.h
@@ -23,13 +23,13 @@
                                                              std::vector<std::string> Workers,
                                                              Milliseconds Timeout)>;
   /// \p Took: since the question was added.
-  using Answered = std::function<void(const sched::Effects::Ask &, const Result<Advice> &,
+  using Answered = std::function<void(const sched::Effects::AdviceRequest &, const Result<Advice> &,
                                       const std::string &Lane, Steady::duration Took)>;
 
   AdviceLanes(Executor Where, Clock Time, AskThrough Ask, Answered OnAnswer);
   /// The members that may be asked through.
   void setLanes(const std::set<std::string> &Names);
-  void add(sched::Effects::Ask Question);
+  void add(sched::Effects::AdviceRequest Question);
   void stop();
 
 private:
@@ -48,14 +48,14 @@
     }
   };
   struct Waiting {
-    sched::Effects::Ask Question;
+    sched::Effects::AdviceRequest Question;
     TimePoint Since{};
     int Tries = 0;
   };
 
   void dispatch();
   std::map<std::string, Lane>::iterator freeLane();
-  bool isHeavy(const sched::Effects::Ask &Question) const;
+  bool isHeavy(const sched::Effects::AdviceRequest &Question) const;
   size_t heavyLimit() const;
   Awaitable<void> ask(std::string Name, Waiting What);
 
--- a/src/cell/scheduler_holds.cpp
+++ b/src/cell/scheduler_holds.cpp
@@ -138,7 +138,7 @@
 }
 
 Milliseconds SchedulerRunner::unsavedPause() const {
-  const auto Wanted = PauseForUnsaved * Cell.WithUnsaved.size();
+  const auto Wanted = PauseForUnsaved * Cell.SlotsWithUnsavedEnds.size();
   return std::clamp(std::chrono::duration_cast<Milliseconds>(Wanted), LeastUnsavedPause,
                     MostUnsavedPause);
 }
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -33,7 +33,7 @@
                                  std::function<void()> OnEnd)
     : Tools(Tools), Mine(Mine), OnEnd(std::move(OnEnd)),
       Lanes(Tools.Where, Tools.Time, Tools.Ask,
-            [this](const Effects::Ask &Question, const Result<Advice> &Answer,
+            [this](const Effects::AdviceRequest &Question, const Result<Advice> &Answer,
                    const std::string &Lane, Steady::duration Took) {
               this->Tools.Metrics.observe(metrics::AdviceSeconds, Took);
               logEvent(
@@ -85,12 +85,12 @@
 }
 
 void SchedulerRunner::setMembers(const std::set<std::string> &Names) {
-  Cell.AdviceLanes = static_cast<uint32_t>(Names.size());
+  Cell.AdviceConcurrency = static_cast<uint32_t>(Names.size());
   Lanes.setLanes(Names);
 }
 
 void SchedulerRunner::setConfiguration(const CellConfiguration &Config) {
-  configured(Cell, Config);
+  applyConfiguration(Cell, Config);
   placeSoon();
 }
 
@@ -194,7 +194,7 @@
   logEvent(events::TermBegun, {{"term", std::to_string(Mine.Term)},
                                {"jobs", std::to_string(Cell.Jobs.size())},
                                {"workers", std::to_string(Cell.Workers.size())},
-                               {"unheard", std::to_string(Cell.Unheard.size())},
+                               {"unheard", std::to_string(Cell.UnreportedWorkers.size())},
                                {"load_ms", std::to_string(Took.count())}});
   co_return Done{};
 }
@@ -203,7 +203,7 @@
   const TimePoint Now = Tools.Time.Now();
   Effects Out;
   if (const auto Cancelled = jobOfKey(Item.Key, CancelPrefix)) {
-    if (Cell.Ended.count(*Cancelled))
+    if (Cell.EndedJobs.count(*Cancelled))
       OldCancels.insert(*Cancelled);
     cancelJob(Cell, *Cancelled, Now, Out);
     apply(Out);
@@ -219,14 +219,14 @@
   }
   StoredJob &Read = value(Stored);
   if (Read.Phase != JobPhase::Live) {
-    if (Cell.Jobs.count(*Id) || Cell.Ended.count(*Id))
+    if (Cell.Jobs.count(*Id) || Cell.EndedJobs.count(*Id))
       return; // our own writing
-    Cell.Ended[*Id] = {Read.Phase, Item.Revision, Read.EndedAt, Read.Spec.Organisation};
-    Cell.Forgettable.emplace_back(Read.EndedAt, *Id);
+    Cell.EndedJobs[*Id] = {Read.Phase, Item.Revision, Read.EndedAt, Read.Spec.Organisation};
+    Cell.EndedByAge.emplace_back(Read.EndedAt, *Id);
     return;
   }
   Read.Spec.Id = *Id;
-  if (!Cell.Jobs.count(*Id) && !Cell.Ended.count(*Id))
+  if (!Cell.Jobs.count(*Id) && !Cell.EndedJobs.count(*Id))
     logEvent(events::JobTaken, {{"job", jobIdText(*Id)},
                                 {"steps", std::to_string(Read.Spec.Steps.size())},
                                 {"queue", Read.Spec.Queue},
@@ -234,7 +234,7 @@
                                 {"new", Fresh ? "yes" : "no"}});
   addJob(Cell, std::make_shared<const JobSpec>(std::move(Read.Spec)), Item.Revision,
          Fresh && Item.Revision > Mine.LeaderRevision, Now);
-  cancelIfAsked(Cell, *Id, Now, Out);
+  applyPendingCancel(Cell, *Id, Now, Out);
   apply(Out);
 }
 
@@ -315,13 +315,13 @@
     spawnLater(Tools.Where, sendStart(Me, std::move(Order)));
   for (Effects::Stop &Order : Out.Stops)
     spawnLater(Tools.Where, sendStop(Me, std::move(Order)));
-  for (Effects::Ask &Question : Out.Asks)
+  for (Effects::AdviceRequest &Question : Out.AdviceRequests)
     Lanes.add(std::move(Question));
-  for (const std::string &Id : Out.Looks)
+  for (const std::string &Id : Out.ReportRequests)
     spawnLater(Tools.Where, look(Me, Id));
-  if (Out.Save)
+  if (Out.SaveRequested)
     SaveWake.cancel();
-  if (Out.Wants)
+  if (Out.HasNewWorkers)
     holdAll();
   Out = {};
 }
@@ -332,8 +332,8 @@
   const auto Millis = [](Steady::duration Time) {
     return std::to_string(std::chrono::duration_cast<Milliseconds>(Time).count());
   };
-  for (const Effects::Placed &What : Out.Placements) {
-    if (What.First)
+  for (const Effects::Placement &What : Out.Placements) {
+    if (What.IsFirst)
       Tools.Metrics.observe(metrics::FirstStartSeconds, Now - What.RunnableSince);
     logEvent(events::StepPlaced, {{"step", toString(What.Step)},
                                   {"tasks", std::to_string(What.Tasks)},
--- a/src/cell/scheduler_runner.h
+++ b/src/cell/scheduler_runner.h
@@ -64,13 +64,13 @@
   void announceJob(const std::string &Bytes, uint64_t Revision);
   void announceCancel(sched::JobId Id);
   bool loaded() const { return Cell.Loaded; }
-  std::string_view state(sched::JobId Id) const { return shownState(Cell, Id); }
+  std::string_view state(sched::JobId Id) const { return publicJobState(Cell, Id); }
   uint32_t waiting(const std::string &Queue) const { return waitingJobs(Cell, Queue); }
   /// What organisations may have running, from now on.
   void setConfiguration(const sched::CellConfiguration &Config);
   /// What operators want empty, unless this term has read a newer state.
   void setEvacuated(sched::EvacuatedZones Zones);
-  std::string owner(sched::JobId Id) const { return ownerOf(Cell, Id); }
+  std::string owner(sched::JobId Id) const { return organisationOfJob(Cell, Id); }
   std::string explain(sched::JobId Id) const { return explainJob(Cell, Id, Tools.Time.Now()); }
 
 private:
--- a/src/cell/scheduler_saves.cpp
+++ b/src/cell/scheduler_saves.cpp
@@ -33,7 +33,7 @@
   if (Found == Cell.Jobs.end())
     return false;
   Job &Of = Found->second;
-  const SaveEntry Entry{Id, Of.NeedsSave, Of.Phase != JobPhase::Live};
+  const SaveEntry Entry{Id, Of.PendingSave, Of.Phase != JobPhase::Live};
   Transaction Rows;
   // The job's own key guards both kinds: progress that the store writes late finds an ended job.
   Rows.Conditions.push_back({jobKey(Id), Of.Revision});
@@ -41,7 +41,7 @@
     Rows.Puts.push_back({jobKey(Id), encodeEndedJob(*Of.Spec, Of.Phase, Tools.Time.Wall()), 0, 0});
     if (Of.ProgressRevision != 0 || Of.ProgressSent)
       Rows.Removes.push_back(progressKey(Id));
-    if (Of.CancelWanted)
+    if (Of.CancelRequested)
       Rows.Removes.push_back(cancelKey(Id));
   } else {
     Of.ProgressSent = true;
@@ -60,7 +60,7 @@
   std::vector<SaveEntry> Batch;
   size_t Bytes = 0;
   for (const bool Ended : {true, false})
-    for (const auto &[Number, Id] : Cell.Saves) {
+    for (const auto &[Number, Id] : Cell.PendingSaves) {
       if (What.rows() >= MaxTransactionRows || Bytes > MaxSaveBytes)
         return Batch;
       const auto Of = Cell.Jobs.find(Id);
@@ -162,7 +162,7 @@
 
 Awaitable<void> SchedulerRunner::flush(Milliseconds Time) {
   const TimePoint Limit = Tools.Time.Now() + Time;
-  while (!Stopped && (!Cell.Saves.empty() || SavesInFlight > 0) && Tools.Time.Now() < Limit)
+  while (!Stopped && (!Cell.PendingSaves.empty() || SavesInFlight > 0) && Tools.Time.Now() < Limit)
     co_await sleepFor(Tools.Settings.Timing.Gather / 2);
 }
 
@@ -219,10 +219,10 @@
     for (const JobId Id : Me->OldCancels)
       if (What.rows() < MaxTransactionRows)
         What.Removes.push_back(cancelKey(Id));
-    auto &Old = Me->Cell.Forgettable;
-    const WallTime Before = Me->Tools.Time.Wall() - Me->Cell.Limits.StateKept;
+    auto &Old = Me->Cell.EndedByAge;
+    const WallTime Before = Me->Tools.Time.Wall() - Me->Cell.Limits.EndedJobRetention;
     while (!Old.empty() && Old.front().first < Before && What.rows() < MaxTransactionRows) {
-      Me->Cell.Ended.erase(Old.front().second);
+      Me->Cell.EndedJobs.erase(Old.front().second);
       What.Removes.push_back(jobKey(Old.front().second));
       Old.pop_front();
     }
--- a/src/config/cell_settings.cpp
+++ b/src/config/cell_settings.cpp
@@ -52,10 +52,10 @@
   const Milliseconds LongestLease = Table.duration("longest_worker_lease", 6s, 1s, 10min);
   Read.Timing.WorkerLease = std::min(Read.Timing.WorkerLease, LongestLease);
   Limits.StopTime = Table.duration("stop_time", Limits.StopTime, 0ms, 1min);
-  Limits.GangTime = Table.duration("gang_time", Limits.GangTime, 10ms, 10min);
-  Limits.EarlyTime = Table.duration("early_time", Limits.EarlyTime, 0ms, 1min);
+  Limits.GangTimeout = Table.duration("gang_time", Limits.GangTimeout, 10ms, 10min);
+  Limits.MaxEarlyStart = Table.duration("early_time", Limits.MaxEarlyStart, 0ms, 1min);
   const double Kept = Table.number("state_kept_seconds", 120, 1, 1e6);
-  Limits.StateKept = fromSeconds(Kept) + 30s;
+  Limits.EndedJobRetention = fromSeconds(Kept) + 30s;
   const bool Strict = Table.boolean("refuse_unconfirmed_keys", false);
   const Milliseconds Time = Table.duration("unconfirmed_keys_time", 5s, 100ms, 10min);
   if (Strict)
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -25,45 +25,46 @@
 struct Worker;
 
 /// An organisation and what it has running, on all workers of the cell together.
-/// Invariant: Running is the sum of `Charge` over all attempts of its jobs, in every phase: what is
+/// Invariant: Usage is the sum of `Charge` over all attempts of its jobs, in every phase: what is
 /// planned, what may still start after an order without an answer, and what is being stopped count
 /// until they are surely gone. Only `book`, `unbook` and `adopt` change it.
 struct OrganisationState {
   std::string Name;
-  Resources Maximum;                ///< Of the newest configuration; 0 in a dimension: no limit.
-  double Weight = 0;                ///< Its share in jobs a second once the cell is full; 0: none.
-  double Unused = 0;                ///< Jobs that it could still hand in within its share,
-  std::optional<WallTime> UnusedAt; ///< as of this time; empty: it has not handed any in yet.
-  Resources Running;
+  Resources Maximum;      ///< Of the newest configuration; 0 in a dimension: no limit.
+  double Weight = 0;      ///< Its share in jobs a second once the cell is full; 0: none.
+  double ShareTokens = 0; ///< Jobs that it could still hand in within its share,
+  std::optional<WallTime> ShareTokensAt; ///< as of this time; empty: it has not handed any in yet.
+  Resources Usage;
   /// What it may have running on workers that this scheduler has not heard yet. (beginPass)
-  Resources Unheard;
+  Resources UnreportedUsage;
 };
 
 /// Figures that the decisions need, from the platform's bounds and from settings.
 struct SchedulerLimits {
-  Milliseconds WorkerLease{6000}; ///< Longest time a worker runs on without word of us.
-  Milliseconds StopTime{200};     ///< Longest time a worker takes to stop a run.
-  Milliseconds GangTime{3000};    ///< How long gang members wait for each other.
-  Milliseconds EarlyTime{250};    ///< A timed round may start so much before its time.
-  Milliseconds StateKept{150000}; ///< How long the state of an ended job is kept.
-  double ClockDrift = 0.02;       ///< Workers' clocks may be off by this part.
-  Milliseconds LeaseMargin{300};  ///< Added to every lease that has to have run out.
-  Milliseconds SetAside{4000};    ///< How long a worker that fails everything gets no work.
-  Milliseconds TicketMargin{120}; ///< A ticket is not used this close to its end.
-  Milliseconds PlanTime{2500};    ///< A gang whose room is not free by then is planned anew.
-  double UrgentShare = 0.10;      ///< While room for urgent tasks is scarce, part of each worker
+  Milliseconds WorkerLease{6000};         ///< Longest time a worker runs on without word of us.
+  Milliseconds StopTime{200};             ///< Longest time a worker takes to stop a run.
+  Milliseconds GangTimeout{3000};         ///< How long gang members wait for each other.
+  Milliseconds MaxEarlyStart{250};        ///< A timed round may start so much before its time.
+  Milliseconds EndedJobRetention{150000}; ///< How long the state of an ended job is kept.
+  double ClockDrift = 0.02;               ///< Workers' clocks may be off by this part.
+  Milliseconds LeaseMargin{300};          ///< Added to every lease that has to have run out.
+  Milliseconds QuarantineTime{4000};      ///< How long a worker that fails everything gets no work.
+  Milliseconds TicketMargin{120};         ///< A ticket is not used this close to its end.
+  Milliseconds PlanTimeout{2500}; ///< A gang whose room is not free by then is planned anew.
+  double MinUrgentReserve = 0.10; ///< While room for urgent tasks is scarce, part of each worker
                                   ///< kept free of work that can wait; more if urgent tasks are
                                   ///< larger, up to the next figure.
-  double MostUrgentShare = 0.22;  ///< The most of it.
-  double UrgentSpare = 0.25;      ///< Room for urgent tasks is scarce if less than this part of
+  double MaxUrgentReserve = 0.22; ///< The most of it.
+  double UrgentHeadroom = 0.25;   ///< Room for urgent tasks is scarce if less than this part of
                                   ///< those that run now could be started beside them.
-  Milliseconds YieldMargin{1500}; ///< Work that was stopped finds a place again within this time.
-  uint32_t SpareWorkers = 150;    ///< Idle workers kept ready beyond those in use; a gang of the
-                                  ///< usual size finds its advised ones among them.
-  uint32_t MoreWorkers = 64;      ///< Most that are made ready in one tick.
-  Milliseconds NotBackTime{1000}; ///< A task that failed goes elsewhere for so long; a worker that
-                                  ///< fails everything is set aside by then.
-  int MaxFailuresInARow = 3;      ///< A worker that failed so many runs in a row is set aside.
+  Milliseconds PreemptionMargin{
+      1500};                   ///< Work that was stopped finds a place again within this time.
+  uint32_t SpareWorkers = 150; ///< Idle workers kept ready beyond those in use; a gang of the
+                               ///< usual size finds its advised ones among them.
+  uint32_t MaxNewWorkersPerTick = 64;      ///< Most that are made ready in one tick.
+  Milliseconds FailureAvoidanceTime{1000}; ///< A task that failed goes elsewhere for so long; a
+                                           ///< worker that fails everything is set aside by then.
+  int MaxConsecutiveFailures = 3; ///< A worker that failed so many runs in a row is set aside.
   uint32_t MaxCrashes = 3;   ///< A task that crashed so many workers in a row as it began is given
                              ///< up. Operators allow it from the second on.
   uint32_t SureCrashes = 2;  ///< So many of them have to be sure; operators ask for two.
@@ -92,7 +93,7 @@
 std::string_view toString(LifeEnd How);
 
 /// Behind all priorities that a queue can have.
-inline constexpr int ExcessPriority = 1'000'000;
+inline constexpr int OverSharePriority = 1'000'000;
 
 /// A run on a worker, or one that may be there.
 struct Attempt {
@@ -100,26 +101,26 @@
   Resources Need;                     ///< Of the worker's room.
   Resources Charge;                   ///< Of its organisation's maximum.
   OrganisationState *Owner = nullptr; ///< Null: nobody's.
-  int Priority = 0;          ///< Of its job; of excess the lowest, so that all others may stop it.
-  bool IsUrgent = false;     ///< It is counted in `CellState::UrgentAttempts`.
-  bool MayBeStopped = false; ///< It saves its progress, so that stopping it loses little.
-  TimePoint Objective{};     ///< Of its job.
-  Milliseconds Estimate{0};  ///< Of its whole run time.
-  int Sends = 0;             ///< Start orders sent.
-  TimePoint Since{};         ///< Of the phase.
+  int Priority = 0;           ///< Of its job; of excess the lowest, so that all others may stop it.
+  bool IsUrgent = false;      ///< It is counted in `CellState::UrgentAttempts`.
+  bool IsPreemptible = false; ///< It saves its progress, so that stopping it loses little.
+  TimePoint Objective{};      ///< Of its job.
+  Milliseconds Estimate{0};   ///< Of its whole run time.
+  int Sends = 0;              ///< Start orders sent.
+  TimePoint PhaseSince{};     ///< When the phase began.
   TimePoint StartedAt{};
   TimePoint StopSent{};
   bool StopAcked = false;
-  bool StopsPlan = false; ///< It is stopped to make room.
+  bool IsPreempted = false; ///< It is stopped to make room.
   TimePoint StopAckedAt{};
   int Percent = 0;
-  TimePoint PercentChanged{};
-  TimePoint EndsSince{}; ///< Its gang is done; since then its own end is expected.
+  TimePoint PercentChangedAt{};
+  TimePoint EndExpectedSince{}; ///< Its gang is done; since then its own end is expected.
   std::optional<Milliseconds> FirstListed; ///< Its worker's clock, as it first listed the run.
-  TimePoint SeenAt{};   ///< When it was surely there: its start was answered, or it was listed in a
-                        ///< report asked for then.
-  bool Stands = false;  ///< Its worker has lived through its beginning.
-  bool OnTrial = false; ///< It begins apart from others; it is counted in `Worker::Trials`.
+  TimePoint ConfirmedAt{}; ///< When it was surely there: its start was answered, or it was listed
+                           ///< in a report asked for then.
+  bool SurvivedStartup = false; ///< Its worker has lived through its beginning.
+  bool OnTrial = false;         ///< It begins apart from others; it is counted in `Worker::Trials`.
 };
 
 /// One life of a worker and what is booked on it.
@@ -156,17 +157,17 @@
 };
 
 /// What is known of advice for a step. Whether a worker is good for it never changes.
-/// Invariant: Good is sorted by slot, and each of its slots is marked in Answered.
+/// Invariant: Permits is sorted by slot, and each of its slots is marked in AnsweredSlots.
 struct AdviceState {
   struct Permit {
     uint32_t Slot = 0; ///< Of a worker that may run the step.
     std::string Ticket;
     TimePoint ValidUntil{};
   };
-  std::vector<Permit> Good;
-  std::vector<bool> Answered; ///< By slot: the advice service was asked about the worker.
-  uint32_t Asking = 0;        ///< Questions under way.
-  bool IsFresh = false;       ///< An answer has come that was not used yet; its tickets run out.
+  std::vector<Permit> Permits;
+  std::vector<bool> AnsweredSlots;  ///< By slot: the advice service was asked about the worker.
+  uint32_t OutstandingRequests = 0; ///< Questions under way.
+  bool HasNewAnswer = false; ///< An answer has come that was not used yet; its tickets run out.
   TimePoint NotBefore{};
 };
 
@@ -197,37 +198,37 @@
 
 /// Place in the queue: what lies within its organisation's share first; then what can still meet
 /// its objective; then by priority and objective.
-struct QueuePlace {
-  bool Excess = false;
+struct QueueKey {
+  bool IsOverShare = false;
   bool Late = false;
   int Priority = 0;
   TimePoint Objective{};
   StepKey Step;
-  friend bool operator==(const QueuePlace &, const QueuePlace &) = default;
-  friend bool operator<(const QueuePlace &A, const QueuePlace &B) {
-    return std::tie(A.Excess, A.Late, A.Priority, A.Objective, A.Step) <
-           std::tie(B.Excess, B.Late, B.Priority, B.Objective, B.Step);
+  friend bool operator==(const QueueKey &, const QueueKey &) = default;
+  friend bool operator<(const QueueKey &A, const QueueKey &B) {
+    return std::tie(A.IsOverShare, A.Late, A.Priority, A.Objective, A.Step) <
+           std::tie(B.IsOverShare, B.Late, B.Priority, B.Objective, B.Step);
   }
 };
 
 /// One step of one round.
-/// Invariant: Open counts the tasks that are not done.
+/// Invariant: OpenTasks counts the tasks that are not done.
 struct StepState {
   StepKey Key;
   const StepSpec *Spec = nullptr;
   std::vector<TaskState> Tasks;
-  uint32_t Open = 0;
-  uint32_t Booked = 0;              ///< Tasks that have an attempt.
-  uint32_t Planned = 0;             ///< Of them, those for which room is only held.
-  std::optional<QueuePlace> Queued; ///< Its place in the placement queue, if it stands there.
-  uint32_t GangRun = 0;             ///< Last run of a gang.
+  uint32_t OpenTasks = 0;
+  uint32_t BookedTasks = 0;       ///< Tasks that have an attempt.
+  uint32_t PlannedTasks = 0;      ///< Of them, those for which room is only held.
+  std::optional<QueueKey> Queued; ///< Its place in the placement queue, if it stands there.
+  uint32_t GangRun = 0;           ///< Last run of a gang.
   std::set<uint32_t> GangFailures;
   AdviceState Advice;
   TimePoint RunnableSince{};
   TimePoint PlannedAt{};
-  bool HasMissed = false; ///< It found no place when it was last looked at.
-  bool Ordered = false;   ///< A start of it was ordered.
-  std::string Waits;      ///< Why nothing is placed just now, for people.
+  bool LastPlacementFailed = false; ///< It found no place when it was last looked at.
+  bool HasStartOrders = false;      ///< A start of it was ordered.
+  std::string WaitReason;           ///< Why nothing is placed just now, for people.
 };
 
 struct RoundState {
@@ -239,18 +240,18 @@
 struct Job {
   JobSpecPtr Spec;
   OrganisationState *Owner = nullptr; ///< Null: it came without a key.
-  bool IsExcess = false;         ///< Its organisation had handed in more than its share before it.
+  bool IsOverShare = false;      ///< Its organisation had handed in more than its share before it.
   uint64_t Revision = 0;         ///< Of its key in the store.
   uint64_t ProgressRevision = 0; ///< Of its progress; 0: none is known to be kept.
   bool ProgressSent = false;     ///< A write of its progress may have been carried out.
   JobPhase Phase = JobPhase::Live;
   bool Begun = false;
-  bool CancelWanted = false;
+  bool CancelRequested = false;
   std::map<uint32_t, RoundState> Rounds;
   uint32_t NextRound = 0;
   uint32_t RoundsDone = 0;
-  TimePoint Objective{};  ///< By then it has to be complete to count in full.
-  uint64_t NeedsSave = 0; ///< Number of the newest save it needs; 0: saved.
+  TimePoint Objective{};    ///< By then it has to be complete to count in full.
+  uint64_t PendingSave = 0; ///< Number of the newest save it needs; 0: saved.
 };
 
 /// A worker that is counted in `TaskState::Crashes` and may be alive. It is kept when the worker is
@@ -277,43 +278,43 @@
   std::set<std::string> Services; ///< Of the newest configuration.
   /// Invariant: `Worker::Evacuated` is true for the workers of these zones and no others.
   EvacuatedZones Evacuated;
-  bool Configured = false; ///< The maxima of organisations are known.
+  bool HasConfiguration = false; ///< The maxima of organisations are known.
   std::unordered_map<JobId, Job> Jobs;
-  std::unordered_map<JobId, EndedJob> Ended;          ///< Saved ends only.
-  std::deque<std::pair<WallTime, JobId>> Forgettable; ///< Ended jobs, oldest first.
-  std::map<std::string, Worker> Workers;              ///< By id; nodes stay where they are.
-  std::vector<Worker *> Slots;                        ///< Workers by slot; null: gone.
-  std::set<QueuePlace> Queue;                         ///< Steps with a task to place.
-  TimePoint NextCommonLook{};            ///< When all steps that wait are looked at again.
-  uint64_t CommonLooks = 0;              ///< So far.
-  std::optional<QueuePlace> FirstMissed; ///< The first that found no place since the last of them.
-  std::set<JobId> EarlyCancels;          ///< Cancelled jobs that are not known yet.
-  std::map<std::string, std::string> Unheard; ///< Workers that an earlier scheduler may have used,
-                                              ///< with their services.
+  std::unordered_map<JobId, EndedJob> EndedJobs;     ///< Saved ends only.
+  std::deque<std::pair<WallTime, JobId>> EndedByAge; ///< Ended jobs, oldest first.
+  std::map<std::string, Worker> Workers;             ///< By id; nodes stay where they are.
+  std::vector<Worker *> Slots;                       ///< Workers by slot; null: gone.
+  std::set<QueueKey> Queue;                          ///< Steps with a task to place.
+  TimePoint NextFullScan{};              ///< When all steps that wait are looked at again.
+  uint64_t FullScans = 0;                ///< So far.
+  std::optional<QueueKey> FirstUnplaced; ///< The first that found no place since the last of them.
+  std::set<JobId> PendingCancels;        ///< Cancelled jobs that are not known yet.
+  std::map<std::string, std::string> UnreportedWorkers; ///< Workers that an earlier scheduler may
+                                                        ///< have used, with their services.
   /// By id. Invariant: a task is named here exactly if it names the worker in `Doubted` or
   /// `Vanished`.
   std::map<std::string, DoubtedWorker> Doubted;
-  std::set<RunKey> Strays; ///< Runs on workers whose job was not known when they were seen.
-  bool Loaded = false;     ///< The store was read; nothing is placed before.
+  std::set<RunKey> OrphanedRuns; ///< Runs on workers whose job was not known when they were seen.
+  bool Loaded = false;           ///< The store was read; nothing is placed before.
   uint64_t LastSave = 0;
-  std::map<uint64_t, JobId> Saves; ///< Saves not yet durable, by number.
-  std::set<uint32_t> WithUnsaved;  ///< Slots of workers with ends that wait for a save.
-  WallTime Wall{};                 ///< The time of day at Now, as of the last tick.
-  TimePoint WallAt{};              ///< The steady time at which Wall was read.
-  bool Starved = false;            ///< A step found no place among the workers that are ready.
-  Resources UrgentNeed;            ///< Moving average of the needs of urgent tasks.
-  uint32_t UrgentAttempts = 0;     ///< Attempts of urgent tasks, in every phase.
-  size_t SeatsFrom = 0;            ///< A slot that had room for urgent tasks when last looked for.
-  uint32_t AdviceLanes = 0;        ///< Questions for advice that can be asked at the same time.
-  uint32_t QuestionsOut = 0;       ///< Of all steps, under way or in line for a lane.
+  std::map<uint64_t, JobId> PendingSaves;  ///< Saves not yet durable, by number.
+  std::set<uint32_t> SlotsWithUnsavedEnds; ///< Slots of workers with ends that wait for a save.
+  WallTime Wall{};                         ///< The time of day at Now, as of the last tick.
+  TimePoint WallAt{};                      ///< The steady time at which Wall was read.
+  bool WorkerShortage = false;    ///< A step found no place among the workers that are ready.
+  Resources MeanUrgentNeed;       ///< Moving average of the needs of urgent tasks.
+  uint32_t UrgentAttempts = 0;    ///< Attempts of urgent tasks, in every phase.
+  size_t UrgentScanStart = 0;     ///< A slot that had room for urgent tasks when last looked for.
+  uint32_t AdviceConcurrency = 0; ///< Questions for advice that can be asked at the same time.
+  uint32_t OutstandingAdviceRequests = 0; ///< Of all steps, under way or in line for a lane.
   /// By step with a question under way: slots of the workers that it names, and what it claims
   /// there.
-  std::map<StepKey, std::vector<std::pair<uint32_t, Resources>>> Claims;
-  std::set<StepKey> Renewing; ///< Steps whose question under way only renews tickets.
+  std::map<StepKey, std::vector<std::pair<uint32_t, Resources>>> AdviceClaims;
+  std::set<StepKey> RenewingTickets; ///< Steps whose question under way only renews tickets.
   /// By queue: the part of the workers asked about that turned out good, a moving average.
-  std::map<std::string, double> GoodShares;
-  TimePoint NextLeaveLook{}; ///< When work on leaving workers is looked for again.
-  TimePoint NextStuckLook{}; ///< When runs without progress are looked for again.
+  std::map<std::string, double> ApprovalRates;
+  TimePoint NextLeaveScan{}; ///< When work on leaving workers is looked for again.
+  TimePoint NextStallScan{}; ///< When runs without progress are looked for again.
 };
 
 /// What the process has to do.
@@ -330,21 +331,21 @@
     RunKey Run;
     std::string Why;
   };
-  struct Ask {
+  struct AdviceRequest {
     StepKey Step;
-    bool Late = false; ///< It is asked after those of steps that can still meet their objective.
+    bool IsLate = false; ///< It is asked after those of steps that can still meet their objective.
     int Priority = 0;
     std::vector<std::string> Workers;
-    Milliseconds Expected{0};
+    Milliseconds ExpectedTime{0};
   };
   /// For the log: what one pass ordered for a step.
-  struct Placed {
+  struct Placement {
     StepKey Step;
     uint32_t Tasks = 0;
     uint32_t Workers = 0;
     TimePoint RunnableSince{};
     TimePoint Objective{};
-    bool First = false; ///< Nothing of the step was ordered before.
+    bool IsFirst = false; ///< Nothing of the step was ordered before.
   };
   /// For the log: a run that failed.
   struct Failure {
@@ -379,17 +380,17 @@
     uint32_t Doubts = 0;
   };
   std::vector<Start> Starts;
-  std::vector<Placed> Placements;
+  std::vector<Placement> Placements;
   std::vector<Failure> Failures;
   std::vector<Loss> Losses;
   std::vector<GivenUp> TasksGivenUp;
   std::vector<CrashCount> CrashCounts;
   std::vector<Stop> Stops;
-  std::vector<Ask> Asks;
-  std::vector<std::string> Looks; ///< Workers to ask at once what they hold.
-  bool Save = false;              ///< Something waits to be saved.
-  bool Wants = false;             ///< Workers are wanted that were not before.
-  bool Deposed = false;           ///< A newer scheduler has spoken; this one must end.
+  std::vector<AdviceRequest> AdviceRequests;
+  std::vector<std::string> ReportRequests; ///< Workers to ask at once what they hold.
+  bool SaveRequested = false;              ///< Something waits to be saved.
+  bool HasNewWorkers = false;              ///< Workers are wanted that were not before.
+  bool Deposed = false;                    ///< A newer scheduler has spoken; this one must end.
 };
 
 // Jobs.
@@ -414,15 +415,15 @@
 /// A cancellation of a job that is not known yet is kept until the job comes.
 void cancelJob(CellState &Cell, JobId Id, TimePoint Now, Effects &Out);
 /// Call after `addJob`: carries out a cancellation that came before the job.
-void cancelIfAsked(CellState &Cell, JobId Id, TimePoint Now, Effects &Out);
+void applyPendingCancel(CellState &Cell, JobId Id, TimePoint Now, Effects &Out);
 /// The saves up to \p Number of \p Id are durable; its keys have these revisions now. Returns the
 /// workers none of whose ends waits for a save any more.
 std::vector<std::string> jobSaved(CellState &Cell, JobId Id, uint64_t Number, uint64_t Revision,
                                   uint64_t ProgressRevision, WallTime Now);
 /// The state to show a caller, empty if there is no such job here.
-std::string_view shownState(const CellState &Cell, JobId Id);
+std::string_view publicJobState(const CellState &Cell, JobId Id);
 /// Whose the job is; empty: anybody's, or there is no such job here.
-std::string ownerOf(const CellState &Cell, JobId Id);
+std::string organisationOfJob(const CellState &Cell, JobId Id);
 /// Jobs of the queue of which nothing has begun.
 uint32_t waitingJobs(const CellState &Cell, const std::string &Queue);
 
@@ -430,12 +431,12 @@
 
 /// The operators' configuration says what organisations may have running, from now on. What runs
 /// beyond a lowered maximum runs on.
-void configured(CellState &Cell, const CellConfiguration &Config);
+void applyConfiguration(CellState &Cell, const CellConfiguration &Config);
 /// The organisation of that name; null for the empty one.
-OrganisationState *organisationNamed(CellState &Cell, const std::string &Name);
+OrganisationState *findOrAddOrganisation(CellState &Cell, const std::string &Name);
 /// Counts a job that the organisation handed in at \p At against its share, a burst of one second
 /// included. False: the job lies beyond it.
-bool takeShare(OrganisationState &Of, WallTime At);
+bool consumeShare(OrganisationState &Of, WallTime At);
 /// True if the organisation may have \p More running. Without \p Of there is no limit; until the
 /// configuration is known no organisation may have anything started.
 bool isWithinQuota(const CellState &Cell, const OrganisationState *Of, const Resources &More);
@@ -498,10 +499,10 @@
 void dropPlanned(CellState &Cell, Worker &On, const RunKey &Run, Effects &Out);
 void setPhase(CellState &Cell, Worker &On, const RunKey &Run, AttemptPhase Phase, TimePoint Now);
 /// The permit for the worker, or null if it is not known to be good for the step.
-const AdviceState::Permit *permitOn(const StepState &Step, const Worker &On);
-AdviceState::Permit *permitOn(StepState &Step, const Worker &On);
+const AdviceState::Permit *findPermit(const StepState &Step, const Worker &On);
+AdviceState::Permit *findPermit(StepState &Step, const Worker &On);
 /// True if the advice service has answered about the worker.
-bool isAnswered(const StepState &Step, const Worker &On);
+bool hasAdviceOn(const StepState &Step, const Worker &On);
 /// Orders the stop of a run, or drops it if it was only planned.
 void stopAttempt(CellState &Cell, Worker &On, const RunKey &Run, const char *Why, TimePoint Now,
                  Effects &Out);
@@ -510,7 +511,7 @@
 bool isLate(const Job &Of, const StepState &Step, TimePoint Now);
 /// Puts the step into the placement queue if one of its tasks can be placed.
 void queueStep(CellState &Cell, Job &Of, StepState &Step, TimePoint Now);
-void needSave(CellState &Cell, Job &Of, Effects &Out);
+void requestSave(CellState &Cell, Job &Of, Effects &Out);
 /// Ends the job, unless it has ended: what runs of it is stopped, and its end is saved.
 void endJob(CellState &Cell, Job &Of, JobPhase Phase, const char *Why, TimePoint Now, Effects &Out);
 /// Notes the end of a run in the task and the job.
--- a/src/records/cell_records.cpp
+++ b/src/records/cell_records.cpp
@@ -110,7 +110,7 @@
       Bits[I / 8] = static_cast<char>(static_cast<unsigned char>(Bits[I / 8]) | (1U << (I % 8)));
     writeNote(Step, I, Record);
   }
-  if (Step.Open == Step.Tasks.size() && Record.note_size() == 0)
+  if (Step.OpenTasks == Step.Tasks.size() && Record.note_size() == 0)
     return;
   Record.set_done(std::move(Bits));
   To.mutable_steps()->Add(std::move(Record));
--- a/src/records/explain.cpp
+++ b/src/records/explain.cpp
@@ -28,7 +28,8 @@
     return Text;
   Text["phase"] = PhaseNames[static_cast<int>(Found->second.Phase)];
   Text["percent"] = Found->second.Percent;
-  Text["since_ms"] = std::chrono::duration_cast<Milliseconds>(Now - Found->second.Since).count();
+  Text["since_ms"] =
+      std::chrono::duration_cast<Milliseconds>(Now - Found->second.PhaseSince).count();
   return Text;
 }
 
@@ -58,9 +59,9 @@
       ++SetAside;
     else if (On.Trials > 0)
       ++OnTrial;
-    else if (Of.Spec->Advice && !isAnswered(Step, On))
+    else if (Of.Spec->Advice && !hasAdviceOn(Step, On))
       ++NotAsked;
-    else if (Of.Spec->Advice && !permitOn(Step, On))
+    else if (Of.Spec->Advice && !findPermit(Step, On))
       ++AdvisedAgainst;
     else if (!fits(Step.Spec->Need, On.Info.Capacity - On.Booked - On.Planned))
       ++NoRoom;
@@ -92,11 +93,11 @@
       for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
         Tasks.push_back(explainTask(Step, I, Now));
       json::object Text{{"step", toString(Step.Key)},
-                        {"open", Step.Open},
-                        {"booked", Step.Booked},
+                        {"open", Step.OpenTasks},
+                        {"booked", Step.BookedTasks},
                         {"gang", Step.Spec->Gang},
-                        {"waits_for", Step.Waits},
-                        {"advice_pending", Step.Advice.Asking > 0},
+                        {"waits_for", Step.WaitReason},
+                        {"advice_pending", Step.Advice.OutstandingRequests > 0},
                         {"workers", explainWorkers(Cell, Of, Step, Now)},
                         {"tasks", std::move(Tasks)}};
       if (Step.RunnableSince != TimePoint{})
--- a/src/scheduler/advice.cpp
+++ b/src/scheduler/advice.cpp
@@ -54,10 +54,10 @@
 
 // Wishes for more workers, if one of those that are not ready yet could take the step.
 void noteStarved(Pass &In, const Job &Of, const StepState &Step) {
-  if (In.Cell.Starved)
+  if (In.Cell.WorkerShortage)
     return;
   const Resources Need = needOf(Step);
-  In.Cell.Starved =
+  In.Cell.WorkerShortage =
       std::any_of(In.Cell.Workers.begin(), In.Cell.Workers.end(), [&](const auto &Entry) {
         const Worker &On = Entry.second;
         return !On.Wanted && takesWork(On) && On.Info.Service == Of.Spec->Service &&
@@ -69,11 +69,11 @@
 
 // Keeps the newest permit of each worker.
 void permit(AdviceState &Known, AdviceState::Permit New) {
-  const auto At = std::lower_bound(Known.Good.begin(), Known.Good.end(), New.Slot, isBefore);
-  if (At != Known.Good.end() && At->Slot == New.Slot)
+  const auto At = std::lower_bound(Known.Permits.begin(), Known.Permits.end(), New.Slot, isBefore);
+  if (At != Known.Permits.end() && At->Slot == New.Slot)
     *At = std::move(New);
   else
-    Known.Good.insert(At, std::move(New));
+    Known.Permits.insert(At, std::move(New));
 }
 } // namespace
 
@@ -81,14 +81,16 @@
                Milliseconds Time) {
   if (!Of.Spec->Advice)
     return true;
-  const AdviceState::Permit *Known = permitOn(Step, On);
+  const AdviceState::Permit *Known = findPermit(Step, On);
   return Known && Known->ValidUntil > In.Now + Time;
 }
 
 namespace {
 // True while half of the lanes are free. Several questions at a time for a gang cost more lanes'
 // time than one after the other; when all are in use, that time is what everybody waits for.
-bool hasFreeLanes(const CellState &Cell) { return Cell.QuestionsOut * 2 < Cell.AdviceLanes; }
+bool hasFreeLanes(const CellState &Cell) {
+  return Cell.OutstandingAdviceRequests * 2 < Cell.AdviceConcurrency;
+}
 
 // Most workers that one question of the step names.
 size_t mostNamed(const CellState &Cell, const StepState &Step) {
@@ -97,7 +99,7 @@
 
 // Most questions of one step at a time.
 size_t mostQuestions(const CellState &Cell) {
-  return hasFreeLanes(Cell) ? std::max<uint32_t>(1, Cell.AdviceLanes / StepLanesOf) : 1;
+  return hasFreeLanes(Cell) ? std::max<uint32_t>(1, Cell.AdviceConcurrency / StepLanesOf) : 1;
 }
 
 // Workers named in each of the questions about so many.
@@ -110,7 +112,7 @@
 
 // Late, or beyond its organisation's share.
 bool isQueuedLate(const StepState &Step) {
-  return Step.Queued && (Step.Queued->Late || Step.Queued->Excess);
+  return Step.Queued && (Step.Queued->Late || Step.Queued->IsOverShare);
 }
 
 // Urgent steps always may. Otherwise a backlog of late work on a full fleet has all lanes stand in
@@ -118,14 +120,15 @@
 // longer than a ticket holds.
 bool maySpendLane(const CellState &Cell, const Job &Of, const StepState &Step) {
   const double Share = isQueuedLate(Step) ? LateShare : WaitingShare;
-  const auto Most = static_cast<uint32_t>(std::ceil(Share * Cell.AdviceLanes));
-  return Of.Spec->Priority == 0 || Cell.AdviceLanes == 0 || Cell.QuestionsOut < Most;
+  const auto Most = static_cast<uint32_t>(std::ceil(Share * Cell.AdviceConcurrency));
+  return Of.Spec->Priority == 0 || Cell.AdviceConcurrency == 0 ||
+         Cell.OutstandingAdviceRequests < Most;
 }
 
 } // namespace
 
 bool canAsk(const Pass &In, const Job &Of, const StepState &Step) {
-  return Step.Advice.Asking == 0 && Step.Advice.NotBefore <= In.Now &&
+  return Step.Advice.OutstandingRequests == 0 && Step.Advice.NotBefore <= In.Now &&
          maySpendLane(In.Cell, Of, Step);
 }
 
@@ -159,13 +162,13 @@
   for (size_t I = 0; I < std::min(Most, Workers.size()); I += Each) {
     const auto First = Workers.begin() + static_cast<ptrdiff_t>(I);
     const size_t Count = std::min(Each, Workers.size() - I);
-    In.Out.Asks.push_back({Step.Key,
-                           isQueuedLate(Step),
-                           Of.Spec->Priority,
-                           {First, First + static_cast<ptrdiff_t>(Count)},
-                           questionTime(*Of.Spec->Advice, Count)});
-    ++Step.Advice.Asking;
-    ++In.Cell.QuestionsOut;
+    In.Out.AdviceRequests.push_back({Step.Key,
+                                     isQueuedLate(Step),
+                                     Of.Spec->Priority,
+                                     {First, First + static_cast<ptrdiff_t>(Count)},
+                                     questionTime(*Of.Spec->Advice, Count)});
+    ++Step.Advice.OutstandingRequests;
+    ++In.Cell.OutstandingAdviceRequests;
   }
 }
 
@@ -196,8 +199,8 @@
 }
 
 double goodShare(const CellState &Cell, const Job &Of) {
-  const auto Known = Cell.GoodShares.find(Of.Spec->Queue);
-  return Known == Cell.GoodShares.end() ? FirstGoodShare : Known->second;
+  const auto Known = Cell.ApprovalRates.find(Of.Spec->Queue);
+  return Known == Cell.ApprovalRates.end() ? FirstGoodShare : Known->second;
 }
 
 // Seats that the step still lacks beside those on workers that are known to be good for it.
@@ -207,7 +210,7 @@
     Missing += isPlaceable(In, Of, Step, I) ? SeatMargin : 0;
   if (!Step.Spec->Gang)
     return std::max(Missing, SeatMargin); // one that is to move has none
-  for (const AdviceState::Permit &Good : Step.Advice.Good)
+  for (const AdviceState::Permit &Good : Step.Advice.Permits)
     if (const Worker *On = In.Cell.Slots[Good.Slot]; On && isUsable(In, *On, Of, Step))
       Missing -= static_cast<double>(seatsOn(In, Of, Step, *On));
   return Missing;
@@ -250,7 +253,7 @@
 // What the question is likely to take of the workers' room is left to it by questions after it.
 void claim(Pass &In, const Job &Of, const StepState &Step, const std::vector<Candidate> &Named) {
   const double Share = goodShare(In.Cell, Of);
-  auto &Claims = In.Cell.Claims[Step.Key];
+  auto &Claims = In.Cell.AdviceClaims[Step.Key];
   for (const Candidate &One : Named) {
     const auto Part = [&](int64_t Need) {
       return static_cast<int64_t>(static_cast<double>(Need * One.Seats) * Share);
@@ -263,13 +266,13 @@
 }
 
 void releaseClaims(CellState &Cell, const StepKey &Key) {
-  const auto Found = Cell.Claims.find(Key);
-  if (Found == Cell.Claims.end())
+  const auto Found = Cell.AdviceClaims.find(Key);
+  if (Found == Cell.AdviceClaims.end())
     return;
   for (const auto &[Slot, Taken] : Found->second)
     if (Worker *On = Cell.Slots[Slot])
       On->Claimed -= Taken;
-  Cell.Claims.erase(Found);
+  Cell.AdviceClaims.erase(Found);
 }
 
 // A gang needs all its tickets at the same time: those of workers that are known to be good are
@@ -277,7 +280,7 @@
 void addExpiring(const Pass &In, const Job &Of, const StepState &Step,
                  std::vector<std::string> &Names) {
   const Milliseconds Time = askTime(In, Of, Step, Names.size());
-  for (const AdviceState::Permit &Good : Step.Advice.Good) {
+  for (const AdviceState::Permit &Good : Step.Advice.Permits) {
     const Worker *On = In.Cell.Slots[Good.Slot];
     if (On && Good.ValidUntil < In.Now + Time && isUsable(In, *On, Of, Step) &&
         seatsOn(In, Of, Step, *On) > 0)
@@ -296,7 +299,7 @@
     return;
   std::vector<Candidate> Unknown;
   for (Worker *On : In.Cell.Slots)
-    if (On && !isAnswered(Step, *On) && isUsable(In, *On, Of, Step) &&
+    if (On && !hasAdviceOn(Step, *On) && isUsable(In, *On, Of, Step) &&
         fits(needOf(Step), On->Info.Capacity))
       Unknown.push_back(
           {freeSeatsOn(In, Of, Step, *On), roomFor(In, *On, Of, Step).MilliCores, On});
@@ -325,12 +328,12 @@
 // until they have been asked for again. Only while half of the lanes are free: in a full cell a
 // renewal takes the lane of a question that starts work now.
 void renewTickets(Pass &In, const Job &Of, StepState &Step) {
-  if (!Of.Spec->Advice || Step.Advice.Asking > 0 || Step.Queued->Late ||
+  if (!Of.Spec->Advice || Step.Advice.OutstandingRequests > 0 || Step.Queued->Late ||
       !isWithinQuota(In.Cell, Of.Owner, leastCharge(*Step.Spec)) || !hasFreeLanes(In.Cell) ||
-      In.Cell.Renewing.size() >= In.Cell.AdviceLanes / RenewalLanesOf)
+      In.Cell.RenewingTickets.size() >= In.Cell.AdviceConcurrency / RenewalLanesOf)
     return;
   std::vector<std::pair<int64_t, const AdviceState::Permit *>> Usable;
-  for (const AdviceState::Permit &Known : Step.Advice.Good)
+  for (const AdviceState::Permit &Known : Step.Advice.Permits)
     if (const Worker *On = In.Cell.Slots[Known.Slot]; On && isUsable(In, *On, Of, Step))
       Usable.emplace_back(-roomFor(In, *On, Of, Step).MilliCores, &Known);
   std::sort(Usable.begin(), Usable.end());
@@ -348,8 +351,8 @@
   for (const auto &[Room, Known] : Usable)
     Names.push_back(In.Cell.Slots[Known->Slot]->Info.Id);
   askAdvice(In, Of, Step, std::move(Names));
-  if (Step.Advice.Asking > 0)
-    In.Cell.Renewing.insert(Step.Key);
+  if (Step.Advice.OutstandingRequests > 0)
+    In.Cell.RenewingTickets.insert(Step.Key);
 }
 
 // A step found no place among the workers known to be good for it.
@@ -368,28 +371,28 @@
                      [](const TaskState &Task) { return !Task.At && !Task.MayRunElsewhere; });
 }
 
-const AdviceState::Permit *permitOn(const StepState &Step, const Worker &On) {
-  const auto &Good = Step.Advice.Good;
+const AdviceState::Permit *findPermit(const StepState &Step, const Worker &On) {
+  const auto &Good = Step.Advice.Permits;
   const auto At = std::lower_bound(Good.begin(), Good.end(), On.Slot, isBefore);
   return At != Good.end() && At->Slot == On.Slot ? &*At : nullptr;
 }
 
-AdviceState::Permit *permitOn(StepState &Step, const Worker &On) {
-  return const_cast<AdviceState::Permit *>(permitOn(std::as_const(Step), On));
+AdviceState::Permit *findPermit(StepState &Step, const Worker &On) {
+  return const_cast<AdviceState::Permit *>(findPermit(std::as_const(Step), On));
 }
 
-bool isAnswered(const StepState &Step, const Worker &On) {
-  return On.Slot < Step.Advice.Answered.size() && Step.Advice.Answered[On.Slot];
+bool hasAdviceOn(const StepState &Step, const Worker &On) {
+  return On.Slot < Step.Advice.AnsweredSlots.size() && Step.Advice.AnsweredSlots[On.Slot];
 }
 
 namespace {
 // A question of the step is over.
 void questionOver(CellState &Cell, const StepKey &Key, StepState *Step) {
-  Cell.Renewing.erase(Key);
-  Cell.QuestionsOut -= Cell.QuestionsOut > 0 ? 1 : 0;
-  if (Step && Step->Advice.Asking > 0)
-    --Step->Advice.Asking;
-  if (!Step || Step->Advice.Asking == 0)
+  Cell.RenewingTickets.erase(Key);
+  Cell.OutstandingAdviceRequests -= Cell.OutstandingAdviceRequests > 0 ? 1 : 0;
+  if (Step && Step->Advice.OutstandingRequests > 0)
+    --Step->Advice.OutstandingRequests;
+  if (!Step || Step->Advice.OutstandingRequests == 0)
     releaseClaims(Cell, Key);
 }
 
@@ -400,7 +403,7 @@
   const double Seen = static_cast<double>(Good) / static_cast<double>(Fresh);
   const double Weight =
       QuestionWeight * std::min(1.0, static_cast<double>(Fresh) / static_cast<double>(MaxNamed));
-  const auto [Known, New] = Cell.GoodShares.try_emplace(Queue, Seen);
+  const auto [Known, New] = Cell.ApprovalRates.try_emplace(Queue, Seen);
   Known->second = std::max(LeastGoodShare, Known->second + Weight * (Seen - Known->second));
 }
 } // namespace
@@ -414,21 +417,21 @@
     return;
   Job &Of = Cell.Jobs.at(Key.Job);
   AdviceState &Known = Step->Advice;
-  Known.Answered.resize(Cell.Slots.size());
+  Known.AnsweredSlots.resize(Cell.Slots.size());
   size_t Fresh = 0;
   size_t FreshGood = 0;
   for (const std::string &Id : Named)
     if (const auto On = Cell.Workers.find(Id); On != Cell.Workers.end()) {
-      Fresh += Known.Answered[On->second.Slot] ? 0 : 1;
-      Known.Answered[On->second.Slot] = true;
+      Fresh += Known.AnsweredSlots[On->second.Slot] ? 0 : 1;
+      Known.AnsweredSlots[On->second.Slot] = true;
     }
   for (const auto &[Id, Ticket] : Good)
     if (const auto On = Cell.Workers.find(Id); On != Cell.Workers.end()) {
-      FreshGood += permitOn(std::as_const(*Step), On->second) ? 0 : 1;
+      FreshGood += findPermit(std::as_const(*Step), On->second) ? 0 : 1;
       permit(Known, {On->second.Slot, Ticket, Now + Valid - Cell.Limits.TicketMargin});
     }
   noteGoodShare(Cell, Of.Spec->Queue, Fresh, FreshGood);
-  Known.IsFresh = true;
+  Known.HasNewAnswer = true;
   queueStep(Cell, Of, *Step, Now);
 }
 
--- a/src/scheduler/capacity_test.cpp
+++ b/src/scheduler/capacity_test.cpp
@@ -56,20 +56,20 @@
 TEST(Capacity, APlanIsNotLaunchedIntoAShrunkenOne) {
   for (const bool Gang : {false, true}) {
     OneWorker Given;
-    Given.Cell.AdviceLanes = 2;
+    Given.Cell.AdviceConcurrency = 2;
     StepSpec Step = tasks(2, 4000, 10s);
     Step.Gang = Gang;
     Given.submit(1, Step, Extension, true);
     Effects Out = Given.pass(NextLook);
-    ASSERT_EQ(Out.Asks.size(), 1u);
-    adviceAnswered(Given.Cell, Out.Asks[0].Step, {"w"}, {{"w", "ticket"}}, 2s, Given.Now);
+    ASSERT_EQ(Out.AdviceRequests.size(), 1u);
+    adviceAnswered(Given.Cell, Out.AdviceRequests[0].Step, {"w"}, {{"w", "ticket"}}, 2s, Given.Now);
     Given.say(7000);
     Out = Given.pass(NextLook);
     EXPECT_EQ(Out.Starts.size(), Gang ? 0u : 1u);
     Given.say(10000);
     Given.Now += 3s; // a plan that came to nothing is given up by then
     for (int I = 0; I < 4; ++I) {
-      for (const Effects::Ask &Question : Out.Asks)
+      for (const Effects::AdviceRequest &Question : Out.AdviceRequests)
         adviceAnswered(Given.Cell, Question.Step, Question.Workers, {{"w", "ticket"}}, 2s,
                        Given.Now);
       Out = Given.pass(NextLook);
--- a/src/scheduler/crash_count.cpp
+++ b/src/scheduler/crash_count.cpp
@@ -32,8 +32,8 @@
     Task->TrialOn.clear();
   if (Task->Inherited == Worker)
     Task->Inherited.clear();
-  needSave(Cell, *Of, Out);
-  Task->CrashSave = Of->NeedsSave;
+  requestSave(Cell, *Of, Out);
+  Task->CrashSave = Of->PendingSave;
   Out.CrashCounts.push_back({Key, Worker, Why, Task->Crashes, doubtsOf(*Task)});
 }
 
@@ -130,8 +130,8 @@
     return;
   Task->TrialOn = On.Info.Id;
   Job &Of = Cell.Jobs.at(Key.Step.Job);
-  needSave(Cell, Of, Out);
-  Task->CrashSave = Of.NeedsSave;
+  requestSave(Cell, Of, Out);
+  Task->CrashSave = Of.PendingSave;
 }
 
 void settleTrial(CellState &Cell, const TaskKey &Key, Effects &Out) {
@@ -140,7 +140,7 @@
     return;
   Task->TrialOn.clear();
   if (Job &Of = Cell.Jobs.at(Key.Step.Job); Of.Phase == JobPhase::Live)
-    needSave(Cell, Of, Out);
+    requestSave(Cell, Of, Out);
 }
 
 void noteNotBegun(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
@@ -154,7 +154,7 @@
 }
 
 bool waitsForCrashSave(const CellState &Cell, const TaskState &Task) {
-  return isSuspect(Task) && Cell.Saves.count(Task.CrashSave) > 0;
+  return isSuspect(Task) && Cell.PendingSaves.count(Task.CrashSave) > 0;
 }
 
 void settleInherited(CellState &Cell, const TaskKey &Key, Effects &Out) {
--- a/src/scheduler/crash_count_test.cpp
+++ b/src/scheduler/crash_count_test.cpp
@@ -162,7 +162,7 @@
     Given.pass(2s);
     ASSERT_GT(Given.startsOf(Id), Before);
     Given.takeOver();
-    ASSERT_NE(shownState(Given.Cell, Id), "failed") << "one worker has crashed under it";
+    ASSERT_NE(publicJobState(Given.Cell, Id), "failed") << "one worker has crashed under it";
     EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
   }
 }
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -26,7 +26,7 @@
 
 // True if the run may have crashed its worker by beginning.
 bool isBeginning(const Attempt &What) {
-  return What.Phase != AttemptPhase::Planned && !What.Stands;
+  return What.Phase != AttemptPhase::Planned && !What.SurvivedStartup;
 }
 
 // A worker that said that it leaves, or that served on after it had left the list, ended as
@@ -60,7 +60,7 @@
   const TaskState *Task = findTask(Cell, Run.Task);
   if (What.Phase == AttemptPhase::Planned || !Task)
     return;
-  const TimePoint Began = What.StartedAt == TimePoint{} ? What.Since : What.StartedAt;
+  const TimePoint Began = What.StartedAt == TimePoint{} ? What.PhaseSince : What.StartedAt;
   const auto Ran = std::chrono::duration_cast<Milliseconds>(On.ReportedAt - Began);
   Out.Losses.push_back({Run, On.Info.Id, How, std::max(Ran, Milliseconds(0)), Task->Crashes,
                         doubtsOf(*Task), Task->Losses});
@@ -74,16 +74,16 @@
 // True if the run was there when its worker went. An order without an answer may have come too
 // late, and what was seen long before may have been over.
 bool wasThere(const Worker &On, const Attempt &What, TimePoint Now) {
-  const TimePoint SilentAt = On.SilentSince >= What.SeenAt ? On.SilentSince : Now;
+  const TimePoint SilentAt = On.SilentSince >= What.ConfirmedAt ? On.SilentSince : Now;
   const auto Least = std::max<std::chrono::duration<double, std::milli>>(
       What.Estimate * LeastDonePart, EndHeardTime);
-  return What.SeenAt != TimePoint{} && SilentAt - What.SeenAt < Least;
+  return What.ConfirmedAt != TimePoint{} && SilentAt - What.ConfirmedAt < Least;
 }
 
 // True if it was there and can't have been over when its worker fell silent: an end just before
 // that is heard of by nobody. Estimates are off by half.
 bool wasBeginning(const Worker &On, const Attempt &What, TimePoint Now) {
-  const TimePoint SilentAt = On.SilentSince >= What.SeenAt ? On.SilentSince : Now;
+  const TimePoint SilentAt = On.SilentSince >= What.ConfirmedAt ? On.SilentSince : Now;
   const auto Least = std::max<std::chrono::duration<double, std::milli>>(
       What.Estimate * LeastDonePart, ShortestRun);
   return wasThere(On, What, Now) && SilentAt - What.StartedAt < Least;
@@ -129,9 +129,9 @@
 
 void noteBeginning(CellState &Cell, Worker &On, const RunKey &Run, Attempt &What,
                    const ReportTimes &When, Effects &Out) {
-  What.SeenAt = std::max(What.SeenAt, When.AskedAt);
+  What.ConfirmedAt = std::max(What.ConfirmedAt, When.AskedAt);
   const StepState *Step = findStep(Cell, Run.Task.Step);
-  if (!Step || What.Stands || What.Phase != AttemptPhase::Running)
+  if (!Step || What.SurvivedStartup || What.Phase != AttemptPhase::Running)
     return;
   if (!What.FirstListed)
     What.FirstListed = When.WorkerClock;
@@ -141,7 +141,7 @@
   // Members of a gang begin their work when the last of them has come.
   if (Step->Spec->Gang && What.Percent == 0)
     return;
-  What.Stands = true;
+  What.SurvivedStartup = true;
   On.Trials -= What.OnTrial ? 1 : 0;
   What.OnTrial = false;
   clearCount(Cell, Run.Task, Out);
@@ -232,7 +232,7 @@
 
 void lookAtTrials(const CellState &Cell, const Worker &On, TimePoint Now, Effects &Out) {
   if (On.Trials > 0 && Now - On.ReportedAt >= Cell.Limits.BeginTime)
-    Out.Looks.push_back(On.Info.Id);
+    Out.ReportRequests.push_back(On.Info.Id);
 }
 
 } // namespace valveshelf::sched
--- a/src/scheduler/crashes_test.cpp
+++ b/src/scheduler/crashes_test.cpp
@@ -29,7 +29,7 @@
     Given.crash(Where);
   }
   EXPECT_EQ(Given.startsOf(Crasher), 3u);
-  EXPECT_EQ(shownState(Given.Cell, Crasher), "failed");
+  EXPECT_EQ(publicJobState(Given.Cell, Crasher), "failed");
 }
 
 TEST(Crashes, TellsWhichRunsAWorkerTookWithIt) {
@@ -63,7 +63,7 @@
     Given.crash(Given.at(Crasher));
   }
   EXPECT_EQ(Crashes, 3);
-  EXPECT_EQ(shownState(Given.Cell, Crasher), "failed");
+  EXPECT_EQ(publicJobState(Given.Cell, Crasher), "failed");
   for (const JobId Id : Others)
     EXPECT_EQ(Given.Cell.Jobs.at(Id).Phase, JobPhase::Live) << "what ran beside it is not to blame";
 }
@@ -132,7 +132,7 @@
     Given.crash(Given.at(Late));
   }
   EXPECT_EQ(Crashes, 5);
-  EXPECT_EQ(shownState(Given.Cell, Late), "failed");
+  EXPECT_EQ(publicJobState(Given.Cell, Late), "failed");
 }
 
 TEST(Crashes, AWorkerThatIsCutOffAndComesBackHasNotCrashed) {
@@ -191,7 +191,7 @@
   Given.Crashers = {Crasher};
   Given.pass(120s);
   EXPECT_LE(Given.startsOf(Crasher), 5u) << "two more than three may be started";
-  EXPECT_EQ(shownState(Given.Cell, Crasher), "failed");
+  EXPECT_EQ(publicJobState(Given.Cell, Crasher), "failed");
 }
 
 // Each scheduler ends as soon as it has seen the silence.
@@ -207,7 +207,7 @@
     Given.takeOver();
   }
   EXPECT_LE(Given.startsOf(Crasher), 5u);
-  EXPECT_EQ(shownState(Given.Cell, Crasher), "failed");
+  EXPECT_EQ(publicJobState(Given.Cell, Crasher), "failed");
 }
 
 // Each scheduler but the first ends before it could see what came of its start.
@@ -225,7 +225,7 @@
     Given.takeOver();
   }
   EXPECT_LE(Given.startsOf(Crasher), 5u);
-  EXPECT_EQ(shownState(Given.Cell, Crasher), "failed");
+  EXPECT_EQ(publicJobState(Given.Cell, Crasher), "failed");
 }
 
 // The answer lay in a buffer while this process stood still.
@@ -269,9 +269,9 @@
   }
   Given.pass(20s);
   EXPECT_LE(Given.startsOf(Crasher), 5u) << "two more than three may be started";
-  EXPECT_EQ(shownState(Given.Cell, Crasher), "failed");
+  EXPECT_EQ(publicJobState(Given.Cell, Crasher), "failed");
   for (const JobId Id : Others)
-    EXPECT_NE(shownState(Given.Cell, Id), "failed");
+    EXPECT_NE(publicJobState(Given.Cell, Id), "failed");
 }
 
 TEST(Crashes, WhatIsNotSavedYetIsNotStartedAgain) {
@@ -302,7 +302,7 @@
     Given.breakRuns(Other);
   }
   EXPECT_EQ(Crashes, 3);
-  EXPECT_EQ(shownState(Given.Cell, Id), "failed");
+  EXPECT_EQ(publicJobState(Given.Cell, Id), "failed");
 }
 
 // A member that waits for the others has not begun, however long it waits.
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -129,11 +129,11 @@
   }
   const bool Ready = HasRoom && HasTickets && mayLaunchAll(In, Step);
   if (!Ready) {
-    Step.Waits = !HasRoom      ? "room is being made"
-                 : !HasTickets ? "tickets are asked for"
-                               : WaitsForCrashSave;
+    Step.WaitReason = !HasRoom      ? "room is being made"
+                      : !HasTickets ? "tickets are asked for"
+                                    : WaitsForCrashSave;
     askAdvice(In, Of, Step, std::move(NoTicket));
-    if (In.Now - Step.PlannedAt > In.Cell.Limits.PlanTime)
+    if (In.Now - Step.PlannedAt > In.Cell.Limits.PlanTimeout)
       dropPlan(In, Step);
     return false;
   }
@@ -141,13 +141,13 @@
     Worker &On = *Step.Tasks[I].At;
     orderStart(In, Of, Step, I, On, On.Attempts.at({{Step.Key, I}, Step.GangRun}));
   }
-  Step.Waits.clear();
+  Step.WaitReason.clear();
   return true;
 }
 
 bool isPlanned(const StepState &Step) {
   const TaskState &First = Step.Tasks.front();
-  if (!First.At || Step.Booked < Step.Tasks.size())
+  if (!First.At || Step.BookedTasks < Step.Tasks.size())
     return false;
   const auto Found = First.At->Attempts.find({{Step.Key, 0}, First.Run});
   return Found != First.At->Attempts.end() && Found->second.Phase == AttemptPhase::Planned;
@@ -167,15 +167,15 @@
 bool placeGang(Pass &In, const Job &Of, StepState &Step) {
   if (isPlanned(Step))
     return launchGang(In, Of, Step);
-  if (Step.Booked > 0)
+  if (Step.BookedTasks > 0)
     dropPartialPlan(In, Step);
   uint32_t Placeable = 0;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
     Placeable += isPlaceable(In, Of, Step, I) ? 1 : 0;
-  if (Step.Booked > 0 || Placeable < Step.Tasks.size())
+  if (Step.BookedTasks > 0 || Placeable < Step.Tasks.size())
     return false;
   if (!isWithinQuota(In.Cell, Of.Owner, leastCharge(*Step.Spec))) {
-    Step.Waits = WaitsForQuota;
+    Step.WaitReason = WaitsForQuota;
     return false;
   }
   bool Yields = false;
@@ -185,7 +185,7 @@
     Seats = gangSeats(In, Of, Step, true);
   }
   if (sumSeats(Seats) < Step.Spec->Count) {
-    Step.Waits = "the advised workers have no room for the whole gang";
+    Step.WaitReason = "the advised workers have no room for the whole gang";
     lookFurther(In, Of, Step);
     return false;
   }
--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -29,7 +29,7 @@
 
 bool isRunnable(const RoundState &Round, const StepState &Step) {
   return std::all_of(Step.Spec->After.begin(), Step.Spec->After.end(),
-                     [&](uint32_t Earlier) { return Round.Steps[Earlier].Open == 0; });
+                     [&](uint32_t Earlier) { return Round.Steps[Earlier].OpenTasks == 0; });
 }
 
 RoundState &makeRound(CellState &Cell, Job &Of, uint32_t Number, TimePoint Now) {
@@ -42,7 +42,7 @@
     Step.Key = {Of.Spec->Id, Number, I};
     Step.Spec = &Specs[I];
     Step.Tasks.resize(Specs[I].Count);
-    Step.Open = Specs[I].Count;
+    Step.OpenTasks = Specs[I].Count;
   }
   for (StepState &Step : Round.Steps)
     queueStep(Cell, Of, Step, Now);
@@ -53,7 +53,7 @@
 void expectEnds(StepState &Step, uint32_t Run, TimePoint Now) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
     if (Attempt *What = attemptOf(Step, I); What && Step.Tasks[I].Run == Run)
-      What->EndsSince = Now;
+      What->EndExpectedSince = Now;
 }
 
 void stopAll(CellState &Cell, Job &Of, const char *Why, TimePoint Now, Effects &Out) {
@@ -64,7 +64,7 @@
       Step.Queued.reset();
       for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
         const Attempt *What = attemptOf(Step, I);
-        if (What && What->EndsSince == TimePoint{})
+        if (What && What->EndExpectedSince == TimePoint{})
           stopAttempt(Cell, *Step.Tasks[I].At, {{Step.Key, I}, Step.Tasks[I].Run}, Why, Now, Out);
       }
     }
@@ -82,7 +82,7 @@
   for (StepState &Next : Round.Steps)
     queueStep(Cell, Of, Next, Now);
   const bool AllDone = std::all_of(Round.Steps.begin(), Round.Steps.end(),
-                                   [](const StepState &Step) { return Step.Open == 0; });
+                                   [](const StepState &Step) { return Step.OpenTasks == 0; });
   if (!AllDone || Round.Done)
     return;
   Round.Done = true;
@@ -93,19 +93,19 @@
 
 void taskDone(CellState &Cell, Job &Of, StepState &Step, const RunKey &Run, TimePoint Now,
               Effects &Out) {
-  const bool WasOpen = Step.Open > 0;
+  const bool WasOpen = Step.OpenTasks > 0;
   if (Step.Spec->Gang) {
     for (TaskState &Task : Step.Tasks)
       Task.Done = true;
-    Step.Open = 0;
+    Step.OpenTasks = 0;
     expectEnds(Step, Run.Run, Now);
   } else if (!Step.Tasks[Run.Task.Index].Done) {
     Step.Tasks[Run.Task.Index].Done = true;
-    --Step.Open;
+    --Step.OpenTasks;
   }
   stopLeftOver(Cell, Step, Run, Now, Out);
-  needSave(Cell, Of, Out);
-  if (WasOpen && Step.Open == 0)
+  requestSave(Cell, Of, Out);
+  if (WasOpen && Step.OpenTasks == 0)
     stepDone(Cell, Of, Of.Rounds.at(Run.Task.Step.Round), Now, Out);
 }
 
@@ -118,7 +118,7 @@
   Task.FailedAt = Now;
   Out.Failures.push_back(
       {Run, On ? On->Info.Id : std::string(), Failures.size(), Of.Spec->MaxAttempts});
-  needSave(Cell, Of, Out);
+  requestSave(Cell, Of, Out);
   if (!Step.Spec->Lasting && Failures.size() >= static_cast<size_t>(Of.Spec->MaxAttempts))
     endJob(Cell, Of, JobPhase::Failed, "a task failed as often as allowed", Now, Out);
 }
@@ -135,7 +135,7 @@
     return;
   Of.Phase = Phase;
   stopAll(Cell, Of, Why, Now, Out);
-  needSave(Cell, Of, Out);
+  requestSave(Cell, Of, Out);
 }
 
 Attempt *attemptOf(const StepState &Step, uint32_t Index) {
@@ -165,25 +165,25 @@
     Cell.Queue.erase(*Step.Queued);
   Step.Queued.reset();
   const RoundState &Round = Of.Rounds.at(Step.Key.Round);
-  if (Of.Phase != JobPhase::Live || Step.Open == 0 || !isRunnable(Round, Step))
+  if (Of.Phase != JobPhase::Live || Step.OpenTasks == 0 || !isRunnable(Round, Step))
     return;
   if (Step.RunnableSince == TimePoint{})
     Step.RunnableSince = Now;
   // A step whose work would end after the objective earns little; it goes behind the others.
   Step.Queued =
-      QueuePlace{Of.IsExcess, isLate(Of, Step, Now), Of.Spec->Priority, Of.Objective, Step.Key};
+      QueueKey{Of.IsOverShare, isLate(Of, Step, Now), Of.Spec->Priority, Of.Objective, Step.Key};
   Cell.Queue.insert(*Step.Queued);
 }
 
 void addJob(CellState &Cell, JobSpecPtr Spec, uint64_t Revision, bool Fresh, TimePoint Now) {
   const JobId Id = Spec->Id;
-  if (Cell.Jobs.count(Id) || Cell.Ended.count(Id))
+  if (Cell.Jobs.count(Id) || Cell.EndedJobs.count(Id))
     return;
   Job &Of = Cell.Jobs[Id];
   Of.Spec = Spec;
-  Of.Owner = organisationNamed(Cell, Spec->Organisation);
+  Of.Owner = findOrAddOrganisation(Cell, Spec->Organisation);
   if (Of.Owner && Fresh)
-    Of.IsExcess = !takeShare(*Of.Owner, Spec->AcceptedAt);
+    Of.IsOverShare = !consumeShare(*Of.Owner, Spec->AcceptedAt);
   Of.Revision = Revision;
   Of.Objective = objectiveOf(Cell, *Spec, Spec->Repetitions ? Spec->FirstDue : Spec->AcceptedAt);
   if (Spec->Repetitions > 0)
@@ -191,7 +191,8 @@
   RoundState &Round = makeRound(Cell, Of, 0, Now);
   for (StepState &Step : Round.Steps)
     for (TaskState &Task : Step.Tasks)
-      (Fresh ? Task.MayRunMeanwhile : Task.MayRunElsewhere) = !Fresh || !Cell.Unheard.empty();
+      (Fresh ? Task.MayRunMeanwhile : Task.MayRunElsewhere) =
+          !Fresh || !Cell.UnreportedWorkers.empty();
 }
 
 void restoreStep(CellState &Cell, const StepKey &Key, const std::vector<SavedTask> &Tasks) {
@@ -215,7 +216,7 @@
     TaskState &Task = Step->Tasks[Saved.Index];
     if (Saved.Done && !Task.Done) {
       Task.Done = true;
-      --Step->Open;
+      --Step->OpenTasks;
     }
     Task.Checkpoint = Saved.Checkpoint;
     Task.Crashes = Saved.Crashes;
@@ -246,7 +247,7 @@
            std::pair(B->Spec->AcceptedAt, B->Spec->Id);
   });
   for (Job *Of : ByTime)
-    Of->IsExcess = !takeShare(*Of->Owner, Of->Spec->AcceptedAt);
+    Of->IsOverShare = !consumeShare(*Of->Owner, Of->Spec->AcceptedAt);
 }
 
 void finishLoading(CellState &Cell, TimePoint Now, Effects &Out) {
@@ -255,7 +256,7 @@
   for (auto &[Id, Of] : Cell.Jobs) {
     for (auto &[Number, Round] : Of.Rounds) {
       Round.Done = std::all_of(Round.Steps.begin(), Round.Steps.end(),
-                               [](const StepState &Step) { return Step.Open == 0; });
+                               [](const StepState &Step) { return Step.OpenTasks == 0; });
       Of.RoundsDone += Round.Done ? 1 : 0;
       for (StepState &Step : Round.Steps)
         queueStep(Cell, Of, Step, Now);
@@ -269,34 +270,34 @@
 void cancelJob(CellState &Cell, JobId Id, TimePoint Now, Effects &Out) {
   const auto Found = Cell.Jobs.find(Id);
   if (Found == Cell.Jobs.end()) {
-    if (!Cell.Ended.count(Id))
-      Cell.EarlyCancels.insert(Id);
+    if (!Cell.EndedJobs.count(Id))
+      Cell.PendingCancels.insert(Id);
     return;
   }
-  Found->second.CancelWanted = true;
+  Found->second.CancelRequested = true;
   endJob(Cell, Found->second, JobPhase::Cancelled, "the job was cancelled", Now, Out);
 }
 
-void cancelIfAsked(CellState &Cell, JobId Id, TimePoint Now, Effects &Out) {
-  if (Cell.EarlyCancels.erase(Id) > 0)
+void applyPendingCancel(CellState &Cell, JobId Id, TimePoint Now, Effects &Out) {
+  if (Cell.PendingCancels.erase(Id) > 0)
     cancelJob(Cell, Id, Now, Out);
 }
 
-void needSave(CellState &Cell, Job &Of, Effects &Out) {
-  Of.NeedsSave = ++Cell.LastSave;
-  Cell.Saves.emplace(Of.NeedsSave, Of.Spec->Id);
-  Out.Save = true;
+void requestSave(CellState &Cell, Job &Of, Effects &Out) {
+  Of.PendingSave = ++Cell.LastSave;
+  Cell.PendingSaves.emplace(Of.PendingSave, Of.Spec->Id);
+  Out.SaveRequested = true;
 }
 
 namespace {
 // Lets workers forget the ends whose saves are durable; returns those that have no other.
 std::vector<std::string> releaseEnds(CellState &Cell) {
   std::vector<std::string> Clear;
-  std::erase_if(Cell.WithUnsaved, [&](uint32_t Slot) {
+  std::erase_if(Cell.SlotsWithUnsavedEnds, [&](uint32_t Slot) {
     Worker *On = Cell.Slots[Slot];
     if (!On)
       return true;
-    while (!On->Unsaved.empty() && !Cell.Saves.count(On->Unsaved.front().second)) {
+    while (!On->Unsaved.empty() && !Cell.PendingSaves.count(On->Unsaved.front().second)) {
       On->ForgetThrough = On->Unsaved.front().first;
       On->Unsaved.pop_front();
     }
@@ -312,14 +313,14 @@
                uint64_t ProgressRevision, WallTime Now) {
   Of.Revision = Revision;
   Of.ProgressRevision = ProgressRevision;
-  if (Of.NeedsSave > Number)
+  if (Of.PendingSave > Number)
     return;
-  Of.NeedsSave = 0;
+  Of.PendingSave = 0;
   if (Of.Phase == JobPhase::Live)
     return;
   const JobId Id = Of.Spec->Id;
-  Cell.Ended[Id] = {Of.Phase, Revision, Now, Of.Spec->Organisation};
-  Cell.Forgettable.emplace_back(Now, Id);
+  Cell.EndedJobs[Id] = {Of.Phase, Revision, Now, Of.Spec->Organisation};
+  Cell.EndedByAge.emplace_back(Now, Id);
   dropDoubts(Cell, Of);
   Cell.Jobs.erase(Id);
 }
@@ -327,15 +328,15 @@
 
 std::vector<std::string> jobSaved(CellState &Cell, JobId Id, uint64_t Number, uint64_t Revision,
                                   uint64_t ProgressRevision, WallTime Now) {
-  std::erase_if(Cell.Saves,
+  std::erase_if(Cell.PendingSaves,
                 [&](const auto &Save) { return Save.second == Id && Save.first <= Number; });
   if (const auto Found = Cell.Jobs.find(Id); Found != Cell.Jobs.end())
     noteSaved(Cell, Found->second, Number, Revision, ProgressRevision, Now);
   return releaseEnds(Cell);
 }
 
-std::string_view shownState(const CellState &Cell, JobId Id) {
-  if (const auto Ended = Cell.Ended.find(Id); Ended != Cell.Ended.end())
+std::string_view publicJobState(const CellState &Cell, JobId Id) {
+  if (const auto Ended = Cell.EndedJobs.find(Id); Ended != Cell.EndedJobs.end())
     switch (Ended->second.Phase) {
     case JobPhase::Completed:
       return "completed";
@@ -352,8 +353,8 @@
   return Found->second.Begun ? "running" : "queued";
 }
 
-std::string ownerOf(const CellState &Cell, JobId Id) {
-  if (const auto Ended = Cell.Ended.find(Id); Ended != Cell.Ended.end())
+std::string organisationOfJob(const CellState &Cell, JobId Id) {
+  if (const auto Ended = Cell.EndedJobs.find(Id); Ended != Cell.EndedJobs.end())
     return Ended->second.Organisation;
   const auto Found = Cell.Jobs.find(Id);
   return Found == Cell.Jobs.end() ? std::string() : Found->second.Spec->Organisation;
@@ -384,7 +385,7 @@
   if (How == RunEnd::Failed)
     taskFailed(Cell, Of, *Step, Run, On, Now, Out);
   else if (!Checkpoint.empty())
-    needSave(Cell, Of, Out); // a successor goes on from the checkpoint
+    requestSave(Cell, Of, Out); // a successor goes on from the checkpoint
   queueStep(Cell, Of, *Step, Now);
 }
 
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -40,7 +40,7 @@
   const Milliseconds Left = What.Estimate * (100 - What.Percent) / 100;
   // Nobody says when a zone that is emptied goes: what would take longer to move than to end stays.
   return On.Info.Draining || !On.Evacuated ? In.Now + Left > On.LeavesAt
-                                           : Left > In.Cell.Limits.YieldMargin;
+                                           : Left > In.Cell.Limits.PreemptionMargin;
 }
 
 // A place for a run that is to be moved, ready to be taken. Advice and tickets that are missing are
@@ -78,9 +78,9 @@
 // Otherwise a lasting task is away until the worker's lease is over (5 s), and a takeover meanwhile
 // holds all old work of the service back for as long.
 void moveFromLeaving(Pass &In) {
-  if (In.Now < In.Cell.NextLeaveLook)
+  if (In.Now < In.Cell.NextLeaveScan)
     return;
-  In.Cell.NextLeaveLook = In.Now + LeaveLookEvery;
+  In.Cell.NextLeaveScan = In.Now + LeaveLookEvery;
   for (auto &[Id, On] : In.Cell.Workers) {
     if (!isLeaving(In, On))
       continue;
--- a/src/scheduler/organisations.cpp
+++ b/src/scheduler/organisations.cpp
@@ -4,8 +4,8 @@
 
 namespace valveshelf::sched {
 
-void configured(CellState &Cell, const CellConfiguration &Config) {
-  Cell.Configured = true;
+void applyConfiguration(CellState &Cell, const CellConfiguration &Config) {
+  Cell.HasConfiguration = true;
   Cell.Services.clear();
   for (const Service &One : Config.Services)
     Cell.Services.insert(One.Name);
@@ -19,7 +19,7 @@
   }
 }
 
-OrganisationState *organisationNamed(CellState &Cell, const std::string &Name) {
+OrganisationState *findOrAddOrganisation(CellState &Cell, const std::string &Name) {
   if (Name.empty())
     return nullptr;
   OrganisationState &Known = Cell.Organisations[Name];
@@ -30,24 +30,25 @@
 // A job beyond its organisation's share goes behind all that is within one, stops nothing and may
 // be stopped for others. An organisation that hands in more than the cell can do makes no other one
 // late.
-bool takeShare(OrganisationState &Of, WallTime At) {
+bool consumeShare(OrganisationState &Of, WallTime At) {
   if (Of.Weight <= 0)
     return true;
   const double Most = std::max(Of.Weight, 1.0);
-  if (!Of.UnusedAt)
-    Of.Unused = Most;
-  else if (At > *Of.UnusedAt)
-    Of.Unused += Of.Weight * std::chrono::duration<double>(At - *Of.UnusedAt).count();
-  Of.UnusedAt = std::max(Of.UnusedAt.value_or(At), At);
-  Of.Unused = std::min(Of.Unused, Most);
-  if (Of.Unused < 1)
+  if (!Of.ShareTokensAt)
+    Of.ShareTokens = Most;
+  else if (At > *Of.ShareTokensAt)
+    Of.ShareTokens += Of.Weight * std::chrono::duration<double>(At - *Of.ShareTokensAt).count();
+  Of.ShareTokensAt = std::max(Of.ShareTokensAt.value_or(At), At);
+  Of.ShareTokens = std::min(Of.ShareTokens, Most);
+  if (Of.ShareTokens < 1)
     return false;
-  Of.Unused -= 1;
+  Of.ShareTokens -= 1;
   return true;
 }
 
 bool isWithinQuota(const CellState &Cell, const OrganisationState *Of, const Resources &More) {
-  return !Of || (Cell.Configured && isWithin(Of->Running + Of->Unheard + More, Of->Maximum));
+  return !Of ||
+         (Cell.HasConfiguration && isWithin(Of->Usage + Of->UnreportedUsage + More, Of->Maximum));
 }
 
 Resources leastCharge(const StepSpec &Step) {
@@ -71,7 +72,7 @@
 // The most that all unheard workers can hold together; empty if the size of one is not known.
 std::optional<Resources> unheardRoom(const CellState &Cell) {
   Resources Sum;
-  for (const auto &[Id, Service] : Cell.Unheard) {
+  for (const auto &[Id, Service] : Cell.UnreportedWorkers) {
     const auto Found = Cell.Workers.find(Id);
     if (Found == Cell.Workers.end())
       continue;
@@ -89,18 +90,18 @@
 // heard, up to the length of a lease.
 void chargeUnheard(Pass &In) {
   for (auto &[Name, Of] : In.Cell.Organisations)
-    Of.Unheard = {};
-  if (In.Cell.Unheard.empty())
+    Of.UnreportedUsage = {};
+  if (In.Cell.UnreportedWorkers.empty())
     return;
   for (auto &[Id, Of] : In.Cell.Jobs)
     for (auto &[Number, Round] : Of.Rounds)
       for (const StepState &Step : Round.Steps)
-        if (Of.Owner && Step.Open > 0)
-          Of.Owner->Unheard += Step.Spec->Need * unheardTasks(In, Of, Step);
+        if (Of.Owner && Step.OpenTasks > 0)
+          Of.Owner->UnreportedUsage += Step.Spec->Need * unheardTasks(In, Of, Step);
   const std::optional<Resources> Most = unheardRoom(In.Cell);
   for (auto &[Name, Of] : In.Cell.Organisations)
     if (Most)
-      Of.Unheard = smallest(Of.Unheard, *Most);
+      Of.UnreportedUsage = smallest(Of.UnreportedUsage, *Most);
 }
 
 } // namespace valveshelf::sched
--- a/src/scheduler/organisations_test.cpp
+++ b/src/scheduler/organisations_test.cpp
@@ -29,7 +29,7 @@
 public:
   explicit Scene(int Workers, int64_t MilliCores) {
     Cell.WallAt = Now;
-    configured(Cell, northMayHave(MilliCores));
+    applyConfiguration(Cell, northMayHave(MilliCores));
     for (int I = 0; I < Workers; ++I)
       workerListed(Cell, workerOf("w" + std::to_string(I)), Now);
   }
@@ -135,10 +135,10 @@
   Given.hearAll();
   Given.submit("north", 4, 1000);
   EXPECT_EQ(Given.pass().size(), 4u);
-  configured(Given.Cell, northMayHave(4000));
+  applyConfiguration(Given.Cell, northMayHave(4000));
   Given.submit("north", 2, 1000);
   EXPECT_EQ(Given.pass().size(), 0u);
-  configured(Given.Cell, northMayHave(5000));
+  applyConfiguration(Given.Cell, northMayHave(5000));
   EXPECT_EQ(Given.pass().size(), 1u);
 }
 
@@ -147,15 +147,15 @@
   OrganisationState Of;
   Of.Weight = 3;
   const WallTime At(1000s);
-  EXPECT_TRUE(takeShare(Of, At) && takeShare(Of, At) && takeShare(Of, At));
-  EXPECT_FALSE(takeShare(Of, At));
-  EXPECT_FALSE(takeShare(Of, At + 300ms));
-  EXPECT_TRUE(takeShare(Of, At + 400ms));
-  EXPECT_FALSE(takeShare(Of, At + 350ms)) << "handed in at another process";
-  EXPECT_TRUE(takeShare(Of, At + 9s) && takeShare(Of, At + 9s) && takeShare(Of, At + 9s));
-  EXPECT_FALSE(takeShare(Of, At + 9s));
+  EXPECT_TRUE(consumeShare(Of, At) && consumeShare(Of, At) && consumeShare(Of, At));
+  EXPECT_FALSE(consumeShare(Of, At));
+  EXPECT_FALSE(consumeShare(Of, At + 300ms));
+  EXPECT_TRUE(consumeShare(Of, At + 400ms));
+  EXPECT_FALSE(consumeShare(Of, At + 350ms)) << "handed in at another process";
+  EXPECT_TRUE(consumeShare(Of, At + 9s) && consumeShare(Of, At + 9s) && consumeShare(Of, At + 9s));
+  EXPECT_FALSE(consumeShare(Of, At + 9s));
   Of.Weight = 0;
-  EXPECT_TRUE(takeShare(Of, At + 9s)) << "no share is set";
+  EXPECT_TRUE(consumeShare(Of, At + 9s)) << "no share is set";
 }
 
 // After a takeover the same jobs are beyond it, by the time at which they were handed in.
@@ -165,15 +165,15 @@
   const JobId First = Given.submit("north", 1, 1000, false, false);
   const JobId Second = Given.submit("north", 1, 1000, false, false);
   Given.load();
-  EXPECT_FALSE(Given.Cell.Jobs.at(First).IsExcess);
-  EXPECT_TRUE(Given.Cell.Jobs.at(Second).IsExcess);
+  EXPECT_FALSE(Given.Cell.Jobs.at(First).IsOverShare);
+  EXPECT_TRUE(Given.Cell.Jobs.at(Second).IsOverShare);
 }
 
 TEST(Organisations, NothingOfThemStartsBeforeTheConfigurationIsKnown) {
   Scene Given(4, 6000);
   Given.load();
   Given.hearAll();
-  Given.Cell.Configured = false;
+  Given.Cell.HasConfiguration = false;
   Given.submit("north", 2, 1000);
   EXPECT_EQ(Given.pass().size(), 0u);
 }
@@ -224,7 +224,7 @@
 // Its size is not known any more; it may be as large as its worker.
 TEST(Organisations, ARunOfAnEndedJobCountsUntilItIsGone) {
   Scene Given(2, 20000);
-  Given.Cell.Ended[77] = {JobPhase::Cancelled, 1, {}, "north"};
+  Given.Cell.EndedJobs[77] = {JobPhase::Cancelled, 1, {}, "north"};
   Given.load();
   WorkerReport Report;
   Report.Active.push_back({{{{77, 0, 0}, 0}, 7}, "", 10});
--- a/src/scheduler/pass.h
+++ b/src/scheduler/pass.h
@@ -91,7 +91,7 @@
       Visit(On);
     return;
   }
-  for (const AdviceState::Permit &Known : Step.Advice.Good)
+  for (const AdviceState::Permit &Known : Step.Advice.Permits)
     if (Worker *On = In.Cell.Slots[Known.Slot])
       Visit(*On);
 }
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -20,7 +20,7 @@
 
 Pass beginPass(CellState &Cell, TimePoint Now, Effects &Out) {
   Pass In{Cell, Now, Out, {}, {}, false, {}};
-  for (const auto &[Id, Service] : Cell.Unheard) {
+  for (const auto &[Id, Service] : Cell.UnreportedWorkers) {
     In.Awaited.insert(Service);
     const auto Found = Cell.Workers.find(Id);
     if (Found != Cell.Workers.end() && Found->second.Answers && !Found->second.Heard)
@@ -41,7 +41,7 @@
   const RunKey Run{{Step.Key, Index}, Step.Tasks[Index].Run};
   setPhase(In.Cell, On, Run, AttemptPhase::Starting, In.Now);
   What.Sends = 1;
-  const AdviceState::Permit *Known = permitOn(Step, On);
+  const AdviceState::Permit *Known = findPermit(Step, On);
   In.Out.Starts.push_back(
       {On.Info.Id, Run, Of.Spec, checkpointOf(Step, Index), Known ? Known->Ticket : std::string()});
 }
@@ -56,8 +56,8 @@
     Workers.insert(In.Out.Starts[I].Worker);
   In.Out.Placements.push_back({Step.Key, static_cast<uint32_t>(In.Out.Starts.size() - Before),
                                static_cast<uint32_t>(Workers.size()), Step.RunnableSince,
-                               Of.Objective, !Step.Ordered});
-  Step.Ordered = true;
+                               Of.Objective, !Step.HasStartOrders});
+  Step.HasStartOrders = true;
 }
 } // namespace
 
@@ -68,8 +68,8 @@
 // A scheduler that was replaced may have started a job that this one hears of only later; its runs
 // are being stopped by then.
 static bool hasStray(const CellState &Cell, const TaskKey &Task) {
-  const auto At = Cell.Strays.lower_bound({Task, 0});
-  return At != Cell.Strays.end() && At->Task == Task;
+  const auto At = Cell.OrphanedRuns.lower_bound({Task, 0});
+  return At != Cell.OrphanedRuns.end() && At->Task == Task;
 }
 
 bool isPlaceable(const Pass &In, const Job &Of, const StepState &Step, uint32_t Index) {
@@ -84,7 +84,7 @@
 namespace {
 // Starts what is planned and has its room and its ticket.
 void launchSingles(Pass &In, const Job &Of, StepState &Step) {
-  if (Step.Planned == 0)
+  if (Step.PlannedTasks == 0)
     return;
   std::vector<std::string> NoTicket;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
@@ -96,7 +96,7 @@
     if (What.Phase != AttemptPhase::Planned)
       continue;
     const bool Usable = What.OnTrial ? isSound(In, *On, Of, Step) : isUsable(In, *On, Of, Step);
-    if (!Usable || In.Now - What.Since > In.Cell.Limits.PlanTime)
+    if (!Usable || In.Now - What.PhaseSince > In.Cell.Limits.PlanTimeout)
       dropPlanned(In.Cell, *On, Run, In.Out);
     else if (!hasTicket(In, Of, Step, *On))
       NoTicket.push_back(On->Info.Id);
@@ -110,7 +110,7 @@
 }
 
 void noteUrgentNeed(CellState &Cell, const Resources &Need) {
-  Resources &Usual = Cell.UrgentNeed;
+  Resources &Usual = Cell.MeanUrgentNeed;
   Usual.MilliCores += (Need.MilliCores - Usual.MilliCores) / UrgentMemory;
   Usual.MemoryMb += (Need.MemoryMb - Usual.MemoryMb) / UrgentMemory;
 }
@@ -148,49 +148,49 @@
   launchSingles(In, Of, Step);
   if (Missed && !OverQuota)
     lookFurther(In, Of, Step);
-  Step.Waits = OverQuota      ? WaitsForQuota
-               : Missed       ? "no advised worker has room"
-               : WaitsForSave ? WaitsForCrashSave
-                              : "";
+  Step.WaitReason = OverQuota      ? WaitsForQuota
+                    : Missed       ? "no advised worker has room"
+                    : WaitsForSave ? WaitsForCrashSave
+                                   : "";
   return !Missed;
 }
 
 // Begins a common look at all steps that wait, if one is due.
 bool beginCommonLook(Pass &In) {
-  if (In.Now < In.Cell.NextCommonLook)
+  if (In.Now < In.Cell.NextFullScan)
     return false;
-  In.Cell.NextCommonLook = In.Now + LookEvery;
-  In.Cell.FirstMissed.reset();
-  ++In.Cell.CommonLooks;
+  In.Cell.NextFullScan = In.Now + LookEvery;
+  In.Cell.FirstUnplaced.reset();
+  ++In.Cell.FullScans;
   return true;
 }
 
-void noteMissed(CellState &Cell, const QueuePlace &Entry) {
-  if (!Cell.FirstMissed || Entry < *Cell.FirstMissed)
-    Cell.FirstMissed = Entry;
+void noteMissed(CellState &Cell, const QueueKey &Entry) {
+  if (!Cell.FirstUnplaced || Entry < *Cell.FirstUnplaced)
+    Cell.FirstUnplaced = Entry;
 }
 
 // The first question of a step, unless nothing of it could start anyway.
 void askFirst(Pass &In, const Job &Of, StepState &Step) {
   const bool MayStart = isWithinQuota(In.Cell, Of.Owner, leastCharge(*Step.Spec));
-  Step.Waits = MayStart ? "" : WaitsForQuota;
+  Step.WaitReason = MayStart ? "" : WaitsForQuota;
   if (MayStart && mayAsk(In, Of, Step))
     askUnknown(In, Of, Step);
 }
 
 // True if the step is left to the next common look: a step before it waits for room.
-bool leavesItsTurn(const Pass &In, const QueuePlace &Entry, const StepState &Step, bool IsCommon) {
-  if (Entry.Priority == 0 || Step.Planned > 0 || Step.Advice.IsFresh)
+bool leavesItsTurn(const Pass &In, const QueueKey &Entry, const StepState &Step, bool IsCommon) {
+  if (Entry.Priority == 0 || Step.PlannedTasks > 0 || Step.Advice.HasNewAnswer)
     return false;
   if (IsCommon)
-    return Step.Spec->Gang && Step.HasMissed && In.Cell.CommonLooks % 2 != 0;
-  return In.Cell.FirstMissed && !(Entry < *In.Cell.FirstMissed);
+    return Step.Spec->Gang && Step.LastPlacementFailed && In.Cell.FullScans % 2 != 0;
+  return In.Cell.FirstUnplaced && !(Entry < *In.Cell.FirstUnplaced);
 }
 
 // True if the step has a task that still has to be placed or launched.
 bool hasWork(const StepState &Step) {
-  return Step.Planned > 0 || std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
-                                         [](const TaskState &T) { return !T.Done && !T.At; });
+  return Step.PlannedTasks > 0 || std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
+                                              [](const TaskState &T) { return !T.Done && !T.At; });
 }
 } // namespace
 
@@ -202,10 +202,10 @@
   int Misses = 0;
   std::tuple<bool, bool, int> Group{false, false, 0};
   bool Skipping = false;
-  const std::vector<QueuePlace> Order(Cell.Queue.begin(), Cell.Queue.end());
-  for (const QueuePlace &Entry : Order) {
-    if (std::tuple(Entry.Excess, Entry.Late, Entry.Priority) != Group) {
-      Group = {Entry.Excess, Entry.Late, Entry.Priority};
+  const std::vector<QueueKey> Order(Cell.Queue.begin(), Cell.Queue.end());
+  for (const QueueKey &Entry : Order) {
+    if (std::tuple(Entry.IsOverShare, Entry.Late, Entry.Priority) != Group) {
+      Group = {Entry.IsOverShare, Entry.Late, Entry.Priority};
       Misses = 0;
       Skipping = false;
     }
@@ -224,18 +224,18 @@
       queueStep(Cell, Of, *Step, Now); // behind those that can still meet theirs
     if (leavesItsTurn(In, Entry, *Step, IsCommon))
       continue;
-    if (Of.Spec->Advice && Step->Advice.Answered.empty()) {
+    if (Of.Spec->Advice && Step->Advice.AnsweredSlots.empty()) {
       askFirst(In, Of, *Step);
-      Step->HasMissed = Step->Advice.Asking == 0;
-      if (Step->HasMissed)
+      Step->LastPlacementFailed = Step->Advice.OutstandingRequests == 0;
+      if (Step->LastPlacementFailed)
         noteMissed(Cell, Entry);
       continue;
     }
-    Step->Advice.IsFresh = false;
+    Step->Advice.HasNewAnswer = false;
     const size_t Before = Out.Starts.size();
     const bool Placed = Step->Spec->Gang ? placeGang(In, Of, *Step) : placeSingles(In, Of, *Step);
     notePlaced(In, Of, *Step, Before);
-    Step->HasMissed = !Placed;
+    Step->LastPlacementFailed = !Placed;
     if (!Placed && Step->Queued) {
       renewTickets(In, Of, *Step);
       noteMissed(Cell, Entry);
--- a/src/scheduler/placement_test.cpp
+++ b/src/scheduler/placement_test.cpp
@@ -97,7 +97,7 @@
 TEST(Placement, AWorkerThatIsGoneLeavesNoPermitBehind) {
   PlacementScene Given(2);
   const JobId Job = Given.submit(0, tasks(1, 1000, 100ms), 100, true);
-  ASSERT_EQ(Given.pass().Asks.size(), 1u);
+  ASSERT_EQ(Given.pass().AdviceRequests.size(), 1u);
   Effects Out;
   const StepKey Step{Job, 0, 0};
   workerOver(Given.Cell, "w0", Given.Now, Out);
@@ -105,8 +105,8 @@
   adviceAnswered(Given.Cell, Step, {"w0", "w1"}, {{"w0", "t0"}}, 1500ms, Given.Now);
   const Effects After = Given.pass();
   EXPECT_TRUE(After.Starts.empty());
-  ASSERT_EQ(After.Asks.size(), 1u);
-  EXPECT_EQ(After.Asks.front().Workers, std::vector<std::string>{"w2"});
+  ASSERT_EQ(After.AdviceRequests.size(), 1u);
+  EXPECT_EQ(After.AdviceRequests.front().Workers, std::vector<std::string>{"w2"});
 }
 
 // A full worker, and steps that wait for it with tickets of two seconds.
@@ -124,27 +124,28 @@
 
 TEST(Tickets, AreRenewedWhileAStepWaitsForRoom) {
   FullWorker Given;
-  Given.Cell.AdviceLanes = 3;
-  EXPECT_TRUE(Given.pass().Asks.empty()) << "they are fresh";
+  Given.Cell.AdviceConcurrency = 3;
+  EXPECT_TRUE(Given.pass().AdviceRequests.empty()) << "they are fresh";
   Given.Now += 1300ms;
   const Effects Out = Given.pass();
-  ASSERT_EQ(Out.Asks.size(), 1u) << "a third of the lanes";
-  EXPECT_EQ(Out.Asks.front().Workers, std::vector<std::string>{"w0"});
-  EXPECT_TRUE(Given.pass().Asks.empty()) << "it is under way";
-  adviceAnswered(Given.Cell, Out.Asks.front().Step, {"w0"}, {{"w0", "new"}}, 2s, Given.Now);
-  EXPECT_EQ(Given.pass().Asks.size(), 1u) << "the other step's turn";
+  ASSERT_EQ(Out.AdviceRequests.size(), 1u) << "a third of the lanes";
+  EXPECT_EQ(Out.AdviceRequests.front().Workers, std::vector<std::string>{"w0"});
+  EXPECT_TRUE(Given.pass().AdviceRequests.empty()) << "it is under way";
+  adviceAnswered(Given.Cell, Out.AdviceRequests.front().Step, {"w0"}, {{"w0", "new"}}, 2s,
+                 Given.Now);
+  EXPECT_EQ(Given.pass().AdviceRequests.size(), 1u) << "the other step's turn";
 }
 
 // The room is left to others until a ticket can be asked for.
 TEST(Tickets, NoRoomIsHeldWhereNoneCanBeAskedFor) {
   PlacementScene Given(1);
-  Given.Cell.AdviceLanes = 1;
+  Given.Cell.AdviceConcurrency = 1;
   const StepKey Step{Given.submit(1, tasks(4, 10000, 1s, true), 100, true), 0, 0};
-  ASSERT_EQ(Given.pass().Asks.size(), 1u);
+  ASSERT_EQ(Given.pass().AdviceRequests.size(), 1u);
   adviceAnswered(Given.Cell, Step, {"w0"}, {{"w0", "old"}}, 200ms, Given.Now);
   Given.Now += 1s; // the ticket is over, and all lanes are taken by others
-  Given.Cell.QuestionsOut = 5;
-  EXPECT_TRUE(Given.pass().Asks.empty());
+  Given.Cell.OutstandingAdviceRequests = 5;
+  EXPECT_TRUE(Given.pass().AdviceRequests.empty());
   Given.submit(2, tasks(5, 10000, 1s), 100);
   Given.Now += 40ms; // the next look at what waits
   EXPECT_EQ(Given.pass().Starts.size(), 5u);
@@ -152,22 +153,22 @@
 
 TEST(Tickets, AreNotRenewedWithoutLanesToSpare) {
   FullWorker Given;
-  Given.Cell.AdviceLanes = 2;
+  Given.Cell.AdviceConcurrency = 2;
   Given.Now += 1300ms;
-  EXPECT_TRUE(Given.pass().Asks.empty());
+  EXPECT_TRUE(Given.pass().AdviceRequests.empty());
 }
 
 // What a question is likely to take is left to it by the next one, until it is answered.
 TEST(Advice, QuestionsDoNotNameTheSameRoomAtATime) {
   PlacementScene Given(60);
-  Given.Cell.AdviceLanes = 30;
-  Given.Cell.GoodShares["q"] = 0.9;
+  Given.Cell.AdviceConcurrency = 30;
+  Given.Cell.ApprovalRates["q"] = 0.9;
   const auto Wide = [&] { return Given.submit(2, tasks(30, 8000, 1s), 100, true, "q"); };
   const StepKey First{Wide(), 0, 0};
-  const auto Asked = Given.pass().Asks;
+  const auto Asked = Given.pass().AdviceRequests;
   ASSERT_EQ(Asked.size(), 1u);
   Wide();
-  const auto Next = Given.pass().Asks;
+  const auto Next = Given.pass().AdviceRequests;
   ASSERT_EQ(Next.size(), 1u);
   const std::set<std::string> Named(Asked[0].Workers.begin(), Asked[0].Workers.end());
   for (const std::string &Id : Next[0].Workers)
@@ -180,16 +181,16 @@
 // It learns on which workers it may use the room that it waits for.
 TEST(Advice, AGangAsksThoughTheCellIsFull) {
   PlacementScene Given(20);
-  Given.Cell.AdviceLanes = 4;
-  Given.Cell.QuestionsOut = 3;
+  Given.Cell.AdviceConcurrency = 4;
+  Given.Cell.OutstandingAdviceRequests = 3;
   Given.submit(0, tasks(20, WorkerSize.MilliCores, 100s), 100);
   Given.pass();
   Given.submit(2, tasks(20, 10000, 1s), 100, true);
-  EXPECT_TRUE(Given.pass().Asks.empty()) << "nothing could start";
+  EXPECT_TRUE(Given.pass().AdviceRequests.empty()) << "nothing could start";
   StepSpec Gang = tasks(4, 10000, 1s);
   Gang.Gang = true;
   Given.submit(1, Gang, 100, true);
-  const auto Asked = Given.pass().Asks;
+  const auto Asked = Given.pass().AdviceRequests;
   ASSERT_EQ(Asked.size(), 1u);
   EXPECT_EQ(Asked[0].Workers.size(), 20u);
 }
@@ -198,8 +199,8 @@
   PlacementScene Given(90);
   Given.submit(0, tasks(2, 1000, 100ms), 100, true);
   const Effects Out = Given.pass();
-  ASSERT_EQ(Out.Asks.size(), 1u);
-  EXPECT_EQ(Out.Asks.front().Workers.size(), 20u);
+  ASSERT_EQ(Out.AdviceRequests.size(), 1u);
+  EXPECT_EQ(Out.AdviceRequests.front().Workers.size(), 20u);
 }
 
 // Ends a run on the worker that holds it.
@@ -410,8 +411,9 @@
   const JobId Job = Given.submit(1, gang(400, 60000), 100);
   ticks(Given, 40);
   EXPECT_GE(wanted(Given), 400);
-  EXPECT_LE(wanted(Given), 400 + Given.Cell.Limits.SpareWorkers + Given.Cell.Limits.MoreWorkers);
-  EXPECT_EQ(Given.Cell.Jobs.at(Job).Rounds.at(0).Steps[0].Booked, 400u);
+  EXPECT_LE(wanted(Given),
+            400 + Given.Cell.Limits.SpareWorkers + Given.Cell.Limits.MaxNewWorkersPerTick);
+  EXPECT_EQ(Given.Cell.Jobs.at(Job).Rounds.at(0).Steps[0].BookedTasks, 400u);
 }
 
 TEST(LargeFleets, AStepThatFitsNowhereMakesNoneReady) {
@@ -503,10 +505,10 @@
   Spec->Advice = AdvicePolicy{};
   workerMayHoldRuns(Given.Cell, workerOf("used", "pool"), Given.Now + 6s);
   addJob(Given.Cell, Spec, 1, false, Given.Now);
-  EXPECT_TRUE(Given.pass().Asks.empty());
+  EXPECT_TRUE(Given.pass().AdviceRequests.empty());
   Effects Out;
   workerReported(Given.Cell, "used", {}, Given.Now, Given.Now, Out);
-  EXPECT_EQ(Given.pass().Asks.size(), 1u);
+  EXPECT_EQ(Given.pass().AdviceRequests.size(), 1u);
 }
 
 // What has left and holds nothing is let go of at once, so that no later scheduler waits for it.
@@ -566,7 +568,7 @@
   WorkerInfo Leaving = workerOf("w0", "pool");
   Leaving.Draining = true;
   workerListed(Given.Cell, Leaving, Given.Now);
-  const auto Asks = Given.pass().Asks;
+  const auto Asks = Given.pass().AdviceRequests;
   ASSERT_EQ(Asks.size(), 1u);
   EXPECT_EQ(Asks.front().Workers, std::vector<std::string>{"w1"});
   adviceAnswered(Given.Cell, Step, {"w1"}, {{"w1", "t"}}, 2s, Given.Now);
@@ -616,8 +618,8 @@
   cancelJob(Given.Cell, 1, Given.Now, Out); // the id of the next job
   const JobId Job = Given.submit(0, tasks(1, 1000, 100ms), 100);
   ASSERT_EQ(Job, 1u);
-  cancelIfAsked(Given.Cell, Job, Given.Now, Out);
-  EXPECT_TRUE(Out.Save);
+  applyPendingCancel(Given.Cell, Job, Given.Now, Out);
+  EXPECT_TRUE(Out.SaveRequested);
   EXPECT_EQ(Given.Cell.Jobs.at(Job).Phase, JobPhase::Cancelled);
   EXPECT_TRUE(Given.pass().Starts.empty());
 }
@@ -639,10 +641,10 @@
   workerReported(Given.Cell, "w0", Ended, Given.Now, Given.Now, Out);
   const Worker &On = Given.Cell.Workers.at("w0");
   // The save of the first job is out when that of the second is done.
-  const uint64_t Number = Given.Cell.Jobs.at(Second).NeedsSave;
+  const uint64_t Number = Given.Cell.Jobs.at(Second).PendingSave;
   EXPECT_TRUE(jobSaved(Given.Cell, Second, Number, 7, 0, WallTime(1000s)).empty());
   EXPECT_EQ(On.ForgetThrough, 1u);
-  const uint64_t Other = Given.Cell.Jobs.at(First).NeedsSave;
+  const uint64_t Other = Given.Cell.Jobs.at(First).PendingSave;
   EXPECT_EQ(jobSaved(Given.Cell, First, Other, 8, 0, WallTime(1000s)),
             std::vector<std::string>{"w0"});
   EXPECT_EQ(On.ForgetThrough, 3u);
@@ -653,7 +655,7 @@
   PlacementScene Given(0);
   CellConfiguration Config;
   Config.Services.push_back({"pool", false});
-  configured(Given.Cell, Config);
+  applyConfiguration(Given.Cell, Config);
   for (const char *Service : {"pool", "elsewhere"}) {
     WorkerInfo Info;
     Info.Id = Service;
--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -39,7 +39,7 @@
   const auto Larger = [](int64_t Usual) {
     return static_cast<int64_t>(static_cast<double>(Usual) * UrgentSpread);
   };
-  return {Larger(Cell.UrgentNeed.MilliCores), Larger(Cell.UrgentNeed.MemoryMb), 0};
+  return {Larger(Cell.MeanUrgentNeed.MilliCores), Larger(Cell.MeanUrgentNeed.MemoryMb), 0};
 }
 } // namespace
 
@@ -48,7 +48,7 @@
 // while the cell as a whole has little of it.
 bool isUrgentRoomScarce(CellState &Cell) {
   const auto Wanted =
-      static_cast<int64_t>(Cell.Limits.UrgentSpare * Cell.UrgentAttempts) + LeastUrgentSeats;
+      static_cast<int64_t>(Cell.Limits.UrgentHeadroom * Cell.UrgentAttempts) + LeastUrgentSeats;
   const Resources Need = usualUrgentNeed(Cell);
   if (Need == Resources{})
     return true; // nothing is known of urgent tasks yet
@@ -56,7 +56,7 @@
   // From where there was room last time: in a cell with some room a look at few workers is enough,
   // however large the fleet.
   const size_t Count = Cell.Slots.size();
-  const size_t First = Count == 0 ? 0 : Cell.SeatsFrom % Count;
+  const size_t First = Count == 0 ? 0 : Cell.UrgentScanStart % Count;
   for (size_t I = 0; I < Count; ++I) {
     const size_t Slot = (First + I) % Count;
     const Worker *On = Cell.Slots[Slot];
@@ -64,7 +64,7 @@
       continue;
     const int64_t Here = timesFits(Need, On->Info.Capacity - On->Booked - On->Planned, Wanted);
     if (Here > 0 && Seats == 0)
-      Cell.SeatsFrom = Slot;
+      Cell.UrgentScanStart = Slot;
     Seats += Here;
     if (Seats >= Wanted)
       return false;
@@ -89,8 +89,9 @@
   const SchedulerLimits &Limits = In.Cell.Limits;
   const Resources &Whole = On.Info.Capacity;
   const auto Part = [&](int64_t Capacity, int64_t Wanted) {
-    const auto Least = static_cast<int64_t>(static_cast<double>(Capacity) * Limits.UrgentShare);
-    const auto Most = static_cast<int64_t>(static_cast<double>(Capacity) * Limits.MostUrgentShare);
+    const auto Least =
+        static_cast<int64_t>(static_cast<double>(Capacity) * Limits.MinUrgentReserve);
+    const auto Most = static_cast<int64_t>(static_cast<double>(Capacity) * Limits.MaxUrgentReserve);
     return std::clamp(Wanted, Least, Most);
   };
   const Resources Usual = usualUrgentNeed(In.Cell);
@@ -127,25 +128,25 @@
 // True if the task has just failed on the worker. Where few advised workers have room it would go
 // back at once and use up its attempts on a worker that fails everything.
 bool hasJustFailedOn(const Pass &In, const TaskState &Task, const Worker &On) {
-  return Task.FailedOn == &On && In.Now - Task.FailedAt < In.Cell.Limits.NotBackTime;
+  return Task.FailedOn == &On && In.Now - Task.FailedAt < In.Cell.Limits.FailureAvoidanceTime;
 }
 
 namespace {
 // What could be stopped on the worker in favour of more urgent work: what is late already, or can
 // still meet its objective when it goes on elsewhere.
 bool canYield(const Pass &In, const Attempt &What, int Priority) {
-  if (What.Phase != AttemptPhase::Running || !What.MayBeStopped || What.Priority <= Priority)
+  if (What.Phase != AttemptPhase::Running || !What.IsPreemptible || What.Priority <= Priority)
     return false;
   const SchedulerLimits &Limits = In.Cell.Limits;
   const Milliseconds Left = What.Estimate * (100 - What.Percent) / 100;
   return In.Now > What.Objective ||
-         In.Now + Limits.StopTime + Left + Limits.YieldMargin < What.Objective;
+         In.Now + Limits.StopTime + Left + Limits.PreemptionMargin < What.Objective;
 }
 } // namespace
 
 // True if the step can meet its objective though others have to be stopped first.
 bool gainsByStopping(const Pass &In, const Job &Of, const StepState &Step) {
-  if (Of.IsExcess)
+  if (Of.IsOverShare)
     return false; // it gets the room that nobody within a share needs
   return Step.Spec->Lasting ||
          In.Now + In.Cell.Limits.StopTime + Step.Spec->Estimate < Of.Objective;
@@ -177,7 +178,7 @@
     const RunKey Run = Candidates.back().second; // the newest has the least to save
     Candidates.pop_back();
     Over -= On.Attempts.at(Run).Need;
-    On.Attempts.at(Run).StopsPlan = true;
+    On.Attempts.at(Run).IsPreempted = true;
     stopAttempt(In.Cell, On, Run, "its room is needed by more urgent work", In.Now, In.Out);
   }
 }
--- a/src/scheduler/scheduler_bench.cpp
+++ b/src/scheduler/scheduler_bench.cpp
@@ -41,7 +41,7 @@
       Effects Out;
       Now += 2ms;
       place(Cell, Now, Out);
-      for (const Effects::Ask &Question : Out.Asks)
+      for (const Effects::AdviceRequest &Question : Out.AdviceRequests)
         answer(Question);
       for (const Effects::Start &Order : Out.Starts)
         startAnswered(Cell, Order.Worker, Order.Run, StartResult::Started, Now, Out);
@@ -83,7 +83,7 @@
     addJob(Cell, Spec, LastJob, true, Now);
   }
 
-  void answer(const Effects::Ask &Question) {
+  void answer(const Effects::AdviceRequest &Question) {
     const double Share = Question.Priority == 0 ? 0.7 : Question.Priority == 1 ? 0.25 : 0.45;
     std::vector<std::pair<std::string, std::string>> Good;
     for (const std::string &Worker : Question.Workers)
--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -326,7 +326,7 @@
     if (Current)
       after(Milliseconds(upTo(500)), [this, To = Current, Config = configuration()] {
         if (To == Current && Config.Version == ConfigVersion) // versions never go back
-          configured(To->Cell, Config);
+          applyConfiguration(To->Cell, Config);
       });
   }
 
@@ -393,11 +393,11 @@
       sendStart(Of, Order);
     for (const Effects::Stop &Order : Out.Stops)
       sendStop(Of, Order);
-    for (const Effects::Ask &Question : Out.Asks)
+    for (const Effects::AdviceRequest &Question : Out.AdviceRequests)
       sendAsk(Of, Question);
-    for (const std::string &Id : Out.Looks)
+    for (const std::string &Id : Out.ReportRequests)
       sendHold(Of, Id);
-    if (Out.Save)
+    if (Out.SaveRequested)
       after(Milliseconds(upTo(30)), [this, Of] { save(Of); });
   }
 
@@ -504,7 +504,7 @@
       after(OrderTimeout, [Answer] { Answer(false, false); });
   }
 
-  void sendAsk(const ProcessPtr &Of, const Effects::Ask &Question) {
+  void sendAsk(const ProcessPtr &Of, const Effects::AdviceRequest &Question) {
     const bool Fails = !Calm && chance(0.05);
     after(Milliseconds(5 + upTo(40)), [this, Of, Question, Fails] {
       if (Of->Over)
@@ -611,9 +611,9 @@
   // Saves jobs one by one, an end also beside progress that is under way; an answer may be lost and
   // the save done or not.
   void save(const ProcessPtr &Of) {
-    if (Of->Over || Of->Cell.Saves.empty())
+    if (Of->Over || Of->Cell.PendingSaves.empty())
       return;
-    for (const auto &[Number, Id] : Of->Cell.Saves) {
+    for (const auto &[Number, Id] : Of->Cell.PendingSaves) {
       const auto Found = Of->Cell.Jobs.find(Id);
       const bool Ends = Found != Of->Cell.Jobs.end() && Found->second.Phase != JobPhase::Live;
       if (Of->Saving.insert({Id, Ends}).second)
@@ -628,7 +628,7 @@
       return;
     }
     const Job &Job = Found->second;
-    const uint64_t Number = Job.NeedsSave;
+    const uint64_t Number = Job.PendingSave;
     const JobPhase Phase = Job.Phase;
     const std::string Progress = Phase == JobPhase::Live ? encodeProgress(Job) : "";
     const bool Loses = !Calm && chance(0.1);
@@ -680,8 +680,8 @@
     auto Next = std::make_shared<Process>();
     CellState &Cell = Next->Cell;
     Cell.Limits.StopTime = StopTime;
-    Cell.Limits.SetAside = 1000ms;
-    Cell.Limits.PlanTime = 1000ms;
+    Cell.Limits.QuarantineTime = 1000ms;
+    Cell.Limits.PlanTimeout = 1000ms;
     Cell.Fence = ++StoreTerm;
     Cell.FirstRun = static_cast<uint32_t>((StoreTerm - 1) * 1000 + 1);
     Cell.Wall = wall();
@@ -706,8 +706,8 @@
     if (Evacuates)
       for (const auto &[Id, Row] : Store)
         if (Row.Phase != JobPhase::Live)
-          Cell.Ended[Id] = {Row.Phase, Row.Revision, wall(), Row.Spec->Organisation};
-    configured(Cell, configuration());
+          Cell.EndedJobs[Id] = {Row.Phase, Row.Revision, wall(), Row.Spec->Organisation};
+    applyConfiguration(Cell, configuration());
     evacuate(Cell, Zones);
     Effects Out;
     finishLoading(Cell, steady(), Out);
@@ -905,9 +905,9 @@
           return Text + " (unknown to the scheduler)";
         for (const auto &[Number, Round] : Found->second.Rounds)
           for (const StepState &Step : Round.Steps)
-            Text += " [open " + std::to_string(Step.Open) + " booked " +
-                    std::to_string(Step.Booked) + " queued " +
-                    std::to_string(Step.Queued.has_value()) + " " + Step.Waits + "]";
+            Text += " [open " + std::to_string(Step.OpenTasks) + " booked " +
+                    std::to_string(Step.BookedTasks) + " queued " +
+                    std::to_string(Step.Queued.has_value()) + " " + Step.WaitReason + "]";
         return Text;
       }
     return "-";
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -37,11 +37,11 @@
 
 // Unheard workers keep the old tasks of their service back; with the last one heard they are free.
 void heard(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out) {
-  const auto Found = Cell.Unheard.find(Id);
-  if (Found == Cell.Unheard.end())
+  const auto Found = Cell.UnreportedWorkers.find(Id);
+  if (Found == Cell.UnreportedWorkers.end())
     return;
   const std::string Service = std::move(Found->second);
-  Cell.Unheard.erase(Found);
+  Cell.UnreportedWorkers.erase(Found);
   if (isAwaited(Cell, Service))
     return;
   for (auto &[JobNumber, Of] : Cell.Jobs) {
@@ -50,7 +50,8 @@
     for (auto &[Number, Round] : Of.Rounds)
       for (StepState &Step : Round.Steps) {
         // A gang that an earlier scheduler began in part can't be completed any more.
-        const bool Partial = Step.Spec->Gang && Step.Booked > 0 && Step.Booked < Step.Open;
+        const bool Partial =
+            Step.Spec->Gang && Step.BookedTasks > 0 && Step.BookedTasks < Step.OpenTasks;
         for (uint32_t I = 0; Partial && I < Step.Tasks.size(); ++I)
           if (Step.Tasks[I].At)
             stopAttempt(Cell, *Step.Tasks[I].At, {{Step.Key, I}, Step.Tasks[I].Run},
@@ -65,7 +66,7 @@
   What.Owner = Owner;
   What.Charge = Amount;
   if (Owner)
-    Owner->Running += Amount;
+    Owner->Usage += Amount;
 }
 
 // A run that this scheduler did not start: taken over if the task needs one, else stopped.
@@ -75,13 +76,13 @@
   if (!Known) {
     // Its job has ended, or was never ours. Its size is unknown until it is gone.
     On.Full = true;
-    Cell.Strays.insert(Row.Run);
+    Cell.OrphanedRuns.insert(Row.Run);
     Attempt &Stray = On.Attempts[Row.Run];
     Stray.Phase = AttemptPhase::Running;
-    Stray.StartedAt = Stray.Since = Now;
+    Stray.StartedAt = Stray.PhaseSince = Now;
     // It may be as large as the worker.
-    if (const auto Was = Cell.Ended.find(Row.Run.Task.Step.Job); Was != Cell.Ended.end())
-      charge(Stray, organisationNamed(Cell, Was->second.Organisation), On.Info.Capacity);
+    if (const auto Was = Cell.EndedJobs.find(Row.Run.Task.Step.Job); Was != Cell.EndedJobs.end())
+      charge(Stray, findOrAddOrganisation(Cell, Was->second.Organisation), On.Info.Capacity);
     stopAttempt(Cell, On, Row.Run, "its job has ended", Now, Out);
     return;
   }
@@ -91,7 +92,7 @@
   if (Wanted) {
     Attempt &Taken =
         book(Cell, *Step, Row.Run.Task.Index, On, Row.Run.Run, AttemptPhase::Running, Of, Now);
-    Taken.StartedAt = Taken.PercentChanged = Now;
+    Taken.StartedAt = Taken.PercentChangedAt = Now;
     settleInherited(Cell, Row.Run.Task, Out);
     noteTrial(Cell, Row.Run.Task, On, Out);
     Of.Begun = true;
@@ -103,7 +104,7 @@
   Attempt &Extra = On.Attempts[Row.Run];
   Extra.Phase = AttemptPhase::Running;
   Extra.Need = Step->Spec->Need;
-  Extra.StartedAt = Extra.Since = Now;
+  Extra.StartedAt = Extra.PhaseSince = Now;
   On.Booked += Extra.Need;
   charge(Extra, Of.Owner, Step->Spec->Need);
   stopAttempt(Cell, On, Row.Run, "the task does not need it", Now, Out);
@@ -114,11 +115,11 @@
   const TimePoint Now = When.ReadAt;
   if (What.Phase == AttemptPhase::Starting || What.Phase == AttemptPhase::Uncertain) {
     setPhase(Cell, On, Row.Run, AttemptPhase::Running, Now);
-    What.StartedAt = What.PercentChanged = Now;
+    What.StartedAt = What.PercentChangedAt = Now;
   }
   if (What.Percent != Row.Percent) {
     What.Percent = Row.Percent;
-    What.PercentChanged = Now;
+    What.PercentChangedAt = Now;
   }
   noteBeginning(Cell, On, Row.Run, What, When, Out);
   StepState *Step = findStep(Cell, Row.Run.Task.Step);
@@ -151,11 +152,11 @@
   if (End.How != RunEnd::Failed)
     return;
   if (failedAtOnce(Cell, On, End.Run, Now))
-    On.SetAsideUntil = std::max(On.SetAsideUntil, Now + Cell.Limits.NotBackTime);
-  if (++On.FailuresInARow < Cell.Limits.MaxFailuresInARow)
+    On.SetAsideUntil = std::max(On.SetAsideUntil, Now + Cell.Limits.FailureAvoidanceTime);
+  if (++On.FailuresInARow < Cell.Limits.MaxConsecutiveFailures)
     return;
-  On.SetAsideUntil = Now + Cell.Limits.SetAside;
-  On.FailuresInARow = Cell.Limits.MaxFailuresInARow - 1;
+  On.SetAsideUntil = Now + Cell.Limits.QuarantineTime;
+  On.FailuresInARow = Cell.Limits.MaxConsecutiveFailures - 1;
 }
 
 void readEnds(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint Now,
@@ -169,12 +170,12 @@
     unbook(Cell, On, End.Run);
     runEnded(Cell, End.Run, End.How, End.Checkpoint, &On, Now, Out);
     const auto Of = Cell.Jobs.find(End.Run.Task.Step.Job);
-    const uint64_t Save = Of == Cell.Jobs.end() ? 0 : Of->second.NeedsSave;
+    const uint64_t Save = Of == Cell.Jobs.end() ? 0 : Of->second.PendingSave;
     if (Save == 0 && On.Unsaved.empty()) {
       On.ForgetThrough = End.Number;
     } else {
       On.Unsaved.emplace_back(End.Number, Save);
-      Cell.WithUnsaved.insert(On.Slot);
+      Cell.SlotsWithUnsavedEnds.insert(On.Slot);
     }
   }
 }
@@ -209,13 +210,13 @@
 void refused(CellState &Cell, Worker &On, const RunKey &Run, StartResult What, TimePoint Now,
              Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
-  if (AdviceState::Permit *Used = Step ? permitOn(*Step, On) : nullptr;
+  if (AdviceState::Permit *Used = Step ? findPermit(*Step, On) : nullptr;
       Used && What == StartResult::RefusedTicket)
     Used->ValidUntil = Now;
   if (What == StartResult::RefusedBusy || What == StartResult::NotSent)
     On.SetAsideUntil = std::max(On.SetAsideUntil, Now + ShortPause);
   if (What == StartResult::RefusedRoom)
-    Out.Looks.push_back(On.Info.Id);
+    Out.ReportRequests.push_back(On.Info.Id);
   noteNotBegun(Cell, Run.Task, On, Out);
   unbook(Cell, On, Run);
   if (!Step)
@@ -228,7 +229,7 @@
 void sendAgain(CellState &Cell, Worker &On, const RunKey &Run, Attempt &What, Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
   const std::string &Checkpoint = Step->Tasks[Step->Spec->Gang ? 0 : Run.Task.Index].Checkpoint;
-  const AdviceState::Permit *Used = permitOn(*Step, On);
+  const AdviceState::Permit *Used = findPermit(*Step, On);
   ++What.Sends;
   Out.Starts.push_back({On.Info.Id, Run, Cell.Jobs.at(Run.Task.Step.Job).Spec, Checkpoint,
                         Used ? Used->Ticket : std::string()});
@@ -240,27 +241,27 @@
   TaskState &Task = Step.Tasks[Index];
   Task.At = &On;
   Task.Run = Run;
-  ++Step.Booked;
+  ++Step.BookedTasks;
   Attempt &Made = On.Attempts[{{Step.Key, Index}, Run}];
   Made.Need = Step.Spec->Need;
   if (Step.Spec->Fills)
     Made.Need.MilliCores = 0;
   charge(Made, Of.Owner, Step.Spec->Need);
-  Made.Priority = Of.IsExcess ? ExcessPriority : Of.Spec->Priority;
+  Made.Priority = Of.IsOverShare ? OverSharePriority : Of.Spec->Priority;
   Made.IsUrgent = Of.Spec->Priority == 0;
   Cell.UrgentAttempts += Made.IsUrgent ? 1 : 0;
   Made.Objective = Of.Objective;
   Made.Estimate = Step.Spec->Estimate;
   Made.OnTrial = beginsApart(Step, Task);
   On.Trials += Made.OnTrial ? 1 : 0;
-  Made.MayBeStopped = Step.Spec->Checkpoints && !Step.Spec->Gang && !Step.Spec->Lasting;
+  Made.IsPreemptible = Step.Spec->Checkpoints && !Step.Spec->Gang && !Step.Spec->Lasting;
   Made.Phase = Phase;
-  Made.Since = Now;
+  Made.PhaseSince = Now;
   const bool IsPlanned = Phase == AttemptPhase::Planned;
   (IsPlanned ? On.Planned : On.Booked) += Made.Need;
-  if (Made.MayBeStopped)
+  if (Made.IsPreemptible)
     On.Stoppable += Made.Need;
-  Step.Planned += IsPlanned ? 1 : 0;
+  Step.PlannedTasks += IsPlanned ? 1 : 0;
   return Made;
 }
 
@@ -270,10 +271,10 @@
     On.Planned -= What.Need;
     On.Booked += What.Need;
     if (StepState *Step = findStep(Cell, Run.Task.Step))
-      --Step->Planned;
+      --Step->PlannedTasks;
   }
   What.Phase = Phase;
-  What.Since = Now;
+  What.PhaseSince = Now;
 }
 
 void unbook(CellState &Cell, Worker &On, const RunKey &Run) {
@@ -282,25 +283,25 @@
     return;
   const bool WasPlanned = Found->second.Phase == AttemptPhase::Planned;
   (WasPlanned ? On.Planned : On.Booked) -= Found->second.Need;
-  if (Found->second.MayBeStopped)
+  if (Found->second.IsPreemptible)
     On.Stoppable -= Found->second.Need;
   Cell.UrgentAttempts -= Found->second.IsUrgent ? 1 : 0;
   On.Trials -= Found->second.OnTrial ? 1 : 0;
   if (Found->second.Owner)
-    Found->second.Owner->Running -= Found->second.Charge;
+    Found->second.Owner->Usage -= Found->second.Charge;
   On.Attempts.erase(Found);
-  Cell.Strays.erase(Run);
+  Cell.OrphanedRuns.erase(Run);
   if (On.Full)
     On.Full = std::any_of(On.Attempts.begin(), On.Attempts.end(),
                           [](const auto &Entry) { return Entry.second.Need == Resources{}; });
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (!Step || Run.Task.Index >= Step->Tasks.size())
     return;
-  Step->Planned -= WasPlanned ? 1 : 0;
+  Step->PlannedTasks -= WasPlanned ? 1 : 0;
   TaskState &Task = Step->Tasks[Run.Task.Index];
   if (Task.At == &On && Task.Run == Run.Run) {
     Task.At = nullptr;
-    --Step->Booked;
+    --Step->BookedTasks;
   }
 }
 
@@ -357,7 +358,7 @@
     On.Info = Info;
   On.Saved = On.Wanted = true;
   On.LeaseEnd = std::max(On.LeaseEnd, LeaseEnd);
-  Cell.Unheard.emplace(Info.Id, On.Info.Service);
+  Cell.UnreportedWorkers.emplace(Info.Id, On.Info.Service);
 }
 
 void workerReported(CellState &Cell, const std::string &Id, const WorkerReport &Report,
@@ -424,7 +425,7 @@
     return;
   if (What == StartResult::Started) {
     setPhase(Cell, *On, Run, AttemptPhase::Running, Now);
-    Which.StartedAt = Which.PercentChanged = Which.SeenAt = Now;
+    Which.StartedAt = Which.PercentChangedAt = Which.ConfirmedAt = Now;
     if (findStep(Cell, Run.Task.Step))
       Cell.Jobs.at(Run.Task.Step.Job).Begun = true;
     return;
@@ -458,7 +459,7 @@
   What.StopAcked = true;
   What.StopAckedAt = Now;
   if (What.StartedAt == TimePoint{})
-    Out.Looks.push_back(Id);
+    Out.ReportRequests.push_back(Id);
 }
 
 // Stops that have to be ordered again or whose end has to be looked for.
@@ -475,7 +476,7 @@
     Look = Look || What.StopAcked;
   }
   if (Look)
-    Out.Looks.push_back(On.Info.Id);
+    Out.ReportRequests.push_back(On.Info.Id);
 }
 
 static Milliseconds stuckTime(const StepSpec &Spec) {
@@ -488,7 +489,7 @@
 static void tickLeftOver(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
   std::vector<RunKey> Left;
   for (const auto &[Run, What] : On.Attempts)
-    if (What.EndsSince != TimePoint{} && Now - What.EndsSince > GangEndTime)
+    if (What.EndExpectedSince != TimePoint{} && Now - What.EndExpectedSince > GangEndTime)
       Left.push_back(Run);
   for (const RunKey &Run : Left)
     stopAttempt(Cell, On, Run, "the others of its gang have ended", Now, Out);
@@ -507,20 +508,20 @@
   for (const auto &[Run, What] : On.Attempts) {
     const StepState *Step = findStep(Cell, Run.Task.Step);
     const bool Watched = What.Phase == AttemptPhase::Running && Step && !Step->Spec->Lasting &&
-                         What.EndsSince == TimePoint{};
+                         What.EndExpectedSince == TimePoint{};
     if (Watched && What.Percent < 100 &&
-        On.ReportedAt - What.PercentChanged > stuckTime(*Step->Spec))
+        On.ReportedAt - What.PercentChangedAt > stuckTime(*Step->Spec))
       Stuck.push_back(Run);
   }
   for (const RunKey &Run : Stuck) {
     stopAttempt(Cell, On, Run, "it makes no progress", Now, Out);
     if (standsStillFirst(Cell, Run))
-      On.SetAsideUntil = Now + Cell.Limits.SetAside;
+      On.SetAsideUntil = Now + Cell.Limits.QuarantineTime;
   }
 }
 
 bool isAwaited(const CellState &Cell, const std::string &Service) {
-  return std::any_of(Cell.Unheard.begin(), Cell.Unheard.end(),
+  return std::any_of(Cell.UnreportedWorkers.begin(), Cell.UnreportedWorkers.end(),
                      [&](const auto &Entry) { return Entry.second == Service; });
 }
 
@@ -552,15 +553,15 @@
     Coming += Usable && On.Answers && (!On.Heard || !On.Saved) ? 1 : 0;
   }
   uint32_t Missing = Spare < Cell.Limits.SpareWorkers ? Cell.Limits.SpareWorkers - Spare : 0;
-  if (Cell.Starved && Coming < Cell.Limits.MoreWorkers)
-    Missing = std::max(Missing, Cell.Limits.MoreWorkers - Coming);
-  Cell.Starved = false;
-  Missing = std::min(Missing, Cell.Limits.MoreWorkers);
+  if (Cell.WorkerShortage && Coming < Cell.Limits.MaxNewWorkersPerTick)
+    Missing = std::max(Missing, Cell.Limits.MaxNewWorkersPerTick - Coming);
+  Cell.WorkerShortage = false;
+  Missing = std::min(Missing, Cell.Limits.MaxNewWorkersPerTick);
   for (auto At = Cell.Workers.begin(); At != Cell.Workers.end() && Missing > 0; ++At) {
     Worker &On = At->second;
     if (On.Wanted || !takesWork(On) || !hasWorkFor(Cell, On.Info))
       continue;
-    On.Wanted = Out.Wants = true;
+    On.Wanted = Out.HasNewWorkers = true;
     --Missing;
   }
 }
@@ -570,9 +571,9 @@
   Cell.WallAt = Now;
   if (!Cell.Loaded)
     return;
-  const bool LookForStuck = Now >= Cell.NextStuckLook;
+  const bool LookForStuck = Now >= Cell.NextStallScan;
   if (LookForStuck)
-    Cell.NextStuckLook = Now + StuckLookEvery;
+    Cell.NextStallScan = Now + StuckLookEvery;
   std::vector<std::string> Over;
   for (auto &[Id, On] : Cell.Workers) {
     blameBeginners(Cell, On, Now, Out);
--- a/testsuite/replay/crash_scene.h
+++ b/testsuite/replay/crash_scene.h
@@ -191,7 +191,7 @@
       workerMayHoldRuns(Cell, Cell.Workers.at(Id).Info, Now + Lease);
     }
     for (const auto &[Id, Phase] : Ended)
-      Cell.Ended[Id] = {Phase, 1, Cell.Wall, ""};
+      Cell.EndedJobs[Id] = {Phase, 1, Cell.Wall, ""};
     for (const auto &[Id, Spec] : Specs) {
       addJob(Cell, Spec, Id, false, Now);
       const Result<SavedSteps> Saved = decodeProgress(Id, Progress[Id]);
@@ -218,14 +218,14 @@
   }
 
   void save() {
-    while (!Cell.Saves.empty()) {
-      const auto [Number, Id] = *Cell.Saves.begin();
+    while (!Cell.PendingSaves.empty()) {
+      const auto [Number, Id] = *Cell.PendingSaves.begin();
       const auto Found = Cell.Jobs.find(Id);
       if (Found != Cell.Jobs.end() && Found->second.Phase == JobPhase::Live)
         Progress[Id] = encodeProgress(Found->second);
       else if (Found != Cell.Jobs.end())
         Ended[Id] = Found->second.Phase;
-      const uint64_t Newest = Found == Cell.Jobs.end() ? Number : Found->second.NeedsSave;
+      const uint64_t Newest = Found == Cell.Jobs.end() ? Number : Found->second.PendingSave;
       jobSaved(Cell, Id, std::max(Number, Newest), 1, 1, Cell.Wall);
     }
   }
--- a/testsuite/replay/load_replay.cpp
+++ b/testsuite/replay/load_replay.cpp
@@ -13,7 +13,7 @@
 
 LoadReplay::LoadReplay(ReplaySetting Given) : Setting(Given) {
   Cell.WallAt = Now;
-  Cell.AdviceLanes = Setting.Lanes;
+  Cell.AdviceConcurrency = Setting.Lanes;
   Cell.Limits.SpareWorkers = static_cast<uint32_t>(Setting.Workers);
   Effects Out;
   finishLoading(Cell, Now, Out);
@@ -115,8 +115,8 @@
       after(Cell.Limits.StopTime, [this, Key = Order.Run] { ends(Key, RunEnd::Stopped); });
     });
   }
-  for (Effects::Ask &Question : Out.Asks)
-    Questions.emplace_back(std::pair(Question.Late, Question.Priority), std::move(Question));
+  for (Effects::AdviceRequest &Question : Out.AdviceRequests)
+    Questions.emplace_back(std::pair(Question.IsLate, Question.Priority), std::move(Question));
   dispatchQuestions();
   placeSoon();
 }
@@ -191,15 +191,15 @@
     const auto Next =
         std::min_element(Questions.begin(), Questions.end(),
                          [](const auto &A, const auto &B) { return A.first < B.first; });
-    const Effects::Ask Question = std::move(Next->second);
+    const Effects::AdviceRequest Question = std::move(Next->second);
     Questions.erase(Next);
     ++LanesInUse;
     ++Results.at(Question.Step.Job).Questions;
-    after(Question.Expected, [this, Question] { answer(Question); });
+    after(Question.ExpectedTime, [this, Question] { answer(Question); });
   }
 }
 
-void LoadReplay::answer(const Effects::Ask &Question) {
+void LoadReplay::answer(const Effects::AdviceRequest &Question) {
   --LanesInUse;
   const double Share = Kinds.at(Question.Step.Job).GoodShare;
   std::vector<std::pair<std::string, std::string>> Good;
@@ -215,11 +215,11 @@
 
 // A store that answers at once.
 void LoadReplay::saveAll() {
-  while (!Cell.Saves.empty()) {
-    const auto [Number, Id] = *Cell.Saves.begin();
+  while (!Cell.PendingSaves.empty()) {
+    const auto [Number, Id] = *Cell.PendingSaves.begin();
     const auto Found = Cell.Jobs.find(Id);
     const JobPhase Phase = Found == Cell.Jobs.end() ? JobPhase::Live : Found->second.Phase;
-    const uint64_t Needs = Found == Cell.Jobs.end() ? Number : Found->second.NeedsSave;
+    const uint64_t Needs = Found == Cell.Jobs.end() ? Number : Found->second.PendingSave;
     ++Revision;
     jobSaved(Cell, Id, std::max(Number, Needs), Revision, Revision, Cell.Wall);
     if (Phase == JobPhase::Live)
--- a/testsuite/replay/load_replay.h
+++ b/testsuite/replay/load_replay.h
@@ -58,7 +58,7 @@
   /// Hands in one job of \p Kind at \p At after the start; its name is for the results only.
   void handIn(Milliseconds At, const std::string &Name, const ReplayKind &Kind);
   /// What organisations may have and hand in.
-  void configure(const CellConfiguration &Config) { configured(Cell, Config); }
+  void configure(const CellConfiguration &Config) { applyConfiguration(Cell, Config); }
   /// From \p At until \p Until all runs on \p Count workers fail at once.
   void makeSick(Milliseconds At, Milliseconds Until, int Count);
   /// Plays until \p At after the start.
@@ -81,7 +81,7 @@
   WorkerReport reportOf(const std::string &Worker, const RunKey &Ended, RunEnd How);
   void ends(const RunKey &Key, RunEnd How);
   void dispatchQuestions();
-  void answer(const Effects::Ask &Question);
+  void answer(const Effects::AdviceRequest &Question);
   void saveAll();
   bool isSick(const std::string &Worker) const;
 
@@ -98,7 +98,7 @@
   std::map<JobId, ReplayKind> Kinds;
   std::map<JobId, ReplayedJob> Results;
   /// Waiting, each with what decides which is asked first: whether it is late, and its priority.
-  std::vector<std::pair<std::pair<bool, int>, Effects::Ask>> Questions;
+  std::vector<std::pair<std::pair<bool, int>, Effects::AdviceRequest>> Questions;
   uint32_t LanesInUse = 0;
   std::map<std::string, std::pair<TimePoint, TimePoint>> Sick;
   bool PassWaits = false;
