--- a/src/include/valveshelf/resources.h
+++ b/src/include/valveshelf/resources.h
@@ -41,19 +41,19 @@
 }
 
 /// The larger amount in each dimension.
-inline Resources largest(const Resources &A, const Resources &B) {
+inline Resources componentMax(const Resources &A, const Resources &B) {
   return {std::max(A.MilliCores, B.MilliCores), std::max(A.MemoryMb, B.MemoryMb),
           std::max(A.Accelerators, B.Accelerators)};
 }
 
 /// The smaller amount in each dimension.
-inline Resources smallest(const Resources &A, const Resources &B) {
+inline Resources componentMin(const Resources &A, const Resources &B) {
   return {std::min(A.MilliCores, B.MilliCores), std::min(A.MemoryMb, B.MemoryMb),
           std::min(A.Accelerators, B.Accelerators)};
 }
 
 /// How many times \p Need fits into \p Room, at most \p Most.
-inline int64_t timesFits(const Resources &Need, const Resources &Room, int64_t Most) {
+inline int64_t countFitting(const Resources &Need, const Resources &Room, int64_t Most) {
   int64_t Times = Most;
   if (Need.MilliCores > 0)
     Times = std::min(Times, Room.MilliCores / Need.MilliCores);
--- a/src/jobs/running_shard.cpp
+++ b/src/jobs/running_shard.cpp
@@ -89,7 +89,7 @@
              const TaskReport &Listed) {
   if (fits(Listed.Usage, Task.Booked))
     return;
-  const Resources More = largest(Task.Booked, Listed.Usage) - Task.Booked;
+  const Resources More = componentMax(Task.Booked, Listed.Usage) - Task.Booked;
   if (fits(More, State.Rooms[Book.Slot].Free))
     return growBooking(State, Task, Listed.Usage);
   Out.Controls.push_back(
@@ -150,7 +150,7 @@
     Out.Forgets.push_back({Book.Box.Name, Listed.Id});
     return;
   }
-  Book.Orphans += largest(Listed.Size, Listed.Usage);
+  Book.Orphans += componentMax(Listed.Size, Listed.Usage);
   Out.Controls.push_back({Book.Box.Name, Book.Box.Address, Listed.Id});
 }
 
--- a/src/jobs/shard_state.cpp
+++ b/src/jobs/shard_state.cpp
@@ -440,7 +440,7 @@
   const auto Found = State.Workers.find(Task.Worker);
   if (Found == State.Workers.end())
     return;
-  const Resources Grown = largest(Task.Booked, Size);
+  const Resources Grown = componentMax(Task.Booked, Size);
   const Resources More = Grown - Task.Booked;
   Task.Booked = Grown;
   Found->second->Booked += More;
--- a/src/placement/shard_directory.cpp
+++ b/src/placement/shard_directory.cpp
@@ -112,7 +112,7 @@
       if (!ok(Wanted) || !matches(value(Wanted), Box.Labels))
         continue;
       ++Selected;
-      Most = largest(Most, Box.Capacity);
+      Most = componentMax(Most, Box.Capacity);
     }
   return "no box could ever hold a task of " + std::to_string(Spec.Size.MilliCores) +
          " milli-cores, " + std::to_string(Spec.Size.MemoryMb) + " MB and " +
@@ -154,7 +154,7 @@
     if (Found == Rooms.end() || Now - Found->second.Heard >= StaleAfter ||
         !fits(Spec.Size, Found->second.LargestFree))
       continue;
-    const auto Times = static_cast<uint32_t>(timesFits(Spec.Size, Found->second.Free, Count));
+    const auto Times = static_cast<uint32_t>(countFitting(Spec.Size, Found->second.Free, Count));
     Offers.push_back({Shard, Times, Found->second.Free.MilliCores});
   }
   std::sort(Offers.begin(), Offers.end(), [Pack](const Offer &A, const Offer &B) {
--- a/src/scheduler/advice.cpp
+++ b/src/scheduler/advice.cpp
@@ -53,7 +53,7 @@
 }
 
 // Wishes for more workers, if one of those that are not ready yet could take the step.
-void noteStarved(Pass &In, const Job &Of, const StepState &Step) {
+void noteStarved(PlacementPass &In, const Job &Of, const StepState &Step) {
   if (In.Cell.WorkerShortage)
     return;
   const Resources Need = needOf(Step);
@@ -77,7 +77,7 @@
 }
 } // namespace
 
-bool hasTicket(const Pass &In, const Job &Of, const StepState &Step, const Worker &On,
+bool hasTicket(const PlacementPass &In, const Job &Of, const StepState &Step, const Worker &On,
                Milliseconds Time) {
   if (!Of.Spec->Advice)
     return true;
@@ -127,15 +127,15 @@
 
 } // namespace
 
-bool canAsk(const Pass &In, const Job &Of, const StepState &Step) {
+bool canRequestAdvice(const PlacementPass &In, const Job &Of, const StepState &Step) {
   return Step.Advice.OutstandingRequests == 0 && Step.Advice.NotBefore <= In.Now &&
          maySpendLane(In.Cell, Of, Step);
 }
 
 // Room that is planned without a ticket is held until one has come. Where no question could be
 // asked it stood empty for the whole time of a plan.
-bool canPlan(const Pass &In, const Job &Of, const StepState &Step, const Worker &On) {
-  return hasTicket(In, Of, Step, On) || canAsk(In, Of, Step);
+bool canPlan(const PlacementPass &In, const Job &Of, const StepState &Step, const Worker &On) {
+  return hasTicket(In, Of, Step, On) || canRequestAdvice(In, Of, Step);
 }
 
 namespace {
@@ -145,7 +145,8 @@
 } // namespace
 
 // With what it takes until the answers are used.
-Milliseconds askTime(const Pass &In, const Job &Of, const StepState &Step, size_t Workers) {
+Milliseconds adviceLatency(const PlacementPass &In, const Job &Of, const StepState &Step,
+                           size_t Workers) {
   if (!Of.Spec->Advice)
     return Milliseconds(0);
   return questionTime(*Of.Spec->Advice, namedInEach(In.Cell, Step, Workers)) + RenewalSlack;
@@ -154,8 +155,9 @@
 // What does not fit one question goes into several at the same time. A large gang needs hundreds of
 // workers asked about; with one question after the other the tickets of the first answers run out
 // before the last has come.
-void askAdvice(Pass &In, const Job &Of, StepState &Step, std::vector<std::string> Workers) {
-  if (Workers.empty() || !canAsk(In, Of, Step))
+void requestAdvice(PlacementPass &In, const Job &Of, StepState &Step,
+                   std::vector<std::string> Workers) {
+  if (Workers.empty() || !canRequestAdvice(In, Of, Step))
     return;
   const size_t Each = namedInEach(In.Cell, Step, Workers.size());
   const size_t Most = mostQuestions(In.Cell) * Each;
@@ -186,16 +188,19 @@
 }
 
 // In the room that is free.
-int64_t freeSeatsOn(const Pass &In, const Job &Of, const StepState &Step, const Worker &On) {
-  return timesFits(needOf(Step), roomFor(In, On, Of, Step) - On.Claimed, mostSeats(Step));
+int64_t freeSeatsOn(const PlacementPass &In, const Job &Of, const StepState &Step,
+                    const Worker &On) {
+  return countFitting(needOf(Step), freeCapacityFor(In, On, Of, Step) - On.Claimed,
+                      mostSeats(Step));
 }
 
 // With what a gang may have stopped for it.
-int64_t seatsOn(const Pass &In, const Job &Of, const StepState &Step, const Worker &On) {
-  if (!Step.Spec->Gang || isQueuedLate(Step) || !gainsByStopping(In, Of, Step))
+int64_t seatsOn(const PlacementPass &In, const Job &Of, const StepState &Step, const Worker &On) {
+  if (!Step.Spec->Gang || isQueuedLate(Step) || !benefitsFromPreemption(In, Of, Step))
     return freeSeatsOn(In, Of, Step, On);
-  const Resources Room = roomFor(In, On, Of, Step) - On.Claimed;
-  return timesFits(needOf(Step), Room + yieldable(In, On, Of.Spec->Priority), mostSeats(Step));
+  const Resources Room = freeCapacityFor(In, On, Of, Step) - On.Claimed;
+  return countFitting(needOf(Step), Room + preemptibleResources(In, On, Of.Spec->Priority),
+                      mostSeats(Step));
 }
 
 double goodShare(const CellState &Cell, const Job &Of) {
@@ -204,7 +209,7 @@
 }
 
 // Seats that the step still lacks beside those on workers that are known to be good for it.
-double missingSeats(const Pass &In, const Job &Of, const StepState &Step) {
+double missingSeats(const PlacementPass &In, const Job &Of, const StepState &Step) {
   double Missing = 0;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
     Missing += isPlaceable(In, Of, Step, I) ? SeatMargin : 0;
@@ -226,7 +231,7 @@
 
 // How many of the candidates to ask about: so many that the good ones among them should have seats
 // for what the step lacks; none if hardly any has room, unless lanes stand idle.
-size_t askedAbout(const Pass &In, const Job &Of, const StepState &Step,
+size_t askedAbout(const PlacementPass &In, const Job &Of, const StepState &Step,
                   std::vector<Candidate> &Sorted) {
   const size_t Most = std::min(Sorted.size(), MaxNamed * mostQuestions(In.Cell));
   if (Of.Spec->Priority == 0)
@@ -251,7 +256,8 @@
 }
 
 // What the question is likely to take of the workers' room is left to it by questions after it.
-void claim(Pass &In, const Job &Of, const StepState &Step, const std::vector<Candidate> &Named) {
+void claim(PlacementPass &In, const Job &Of, const StepState &Step,
+           const std::vector<Candidate> &Named) {
   const double Share = goodShare(In.Cell, Of);
   auto &Claims = In.Cell.AdviceClaims[Step.Key];
   for (const Candidate &One : Named) {
@@ -277,9 +283,9 @@
 
 // A gang needs all its tickets at the same time: those of workers that are known to be good are
 // renewed together with questions about others.
-void addExpiring(const Pass &In, const Job &Of, const StepState &Step,
+void addExpiring(const PlacementPass &In, const Job &Of, const StepState &Step,
                  std::vector<std::string> &Names) {
-  const Milliseconds Time = askTime(In, Of, Step, Names.size());
+  const Milliseconds Time = adviceLatency(In, Of, Step, Names.size());
   for (const AdviceState::Permit &Good : Step.Advice.Permits) {
     const Worker *On = In.Cell.Slots[Good.Slot];
     if (On && Good.ValidUntil < In.Now + Time && isUsable(In, *On, Of, Step) &&
@@ -290,19 +296,19 @@
 } // namespace
 
 // Asks about workers of which nothing is known yet, those with the most room first.
-void askUnknown(Pass &In, const Job &Of, StepState &Step) {
-  if (!Of.Spec->Advice || !canAsk(In, Of, Step))
+void requestAdviceOnUnknown(PlacementPass &In, const Job &Of, StepState &Step) {
+  if (!Of.Spec->Advice || !canRequestAdvice(In, Of, Step))
     return;
   // In a full cell most steps that wait come no further, which keeps a pass short.
   const bool IsSingle = !Step.Spec->Gang && Of.Spec->Priority > 0;
-  if (IsSingle && !hasFreeLanes(In.Cell) && !fits(needOf(Step), mostFree(In)))
+  if (IsSingle && !hasFreeLanes(In.Cell) && !fits(needOf(Step), maxFree(In)))
     return;
   std::vector<Candidate> Unknown;
   for (Worker *On : In.Cell.Slots)
     if (On && !hasAdviceOn(Step, *On) && isUsable(In, *On, Of, Step) &&
         fits(needOf(Step), On->Info.Capacity))
       Unknown.push_back(
-          {freeSeatsOn(In, Of, Step, *On), roomFor(In, *On, Of, Step).MilliCores, On});
+          {freeSeatsOn(In, Of, Step, *On), freeCapacityFor(In, *On, Of, Step).MilliCores, On});
   if (Unknown.empty())
     noteStarved(In, Of, Step);
   const size_t Sorted = std::min(Unknown.size(), MaxNamed * mostQuestions(In.Cell));
@@ -320,22 +326,22 @@
     Names.push_back(One.On->Info.Id);
   if (Step.Spec->Gang)
     addExpiring(In, Of, Step, Names);
-  askAdvice(In, Of, Step, std::move(Names));
+  requestAdvice(In, Of, Step, std::move(Names));
   claim(In, Of, Step, Unknown);
 }
 
 // Keeps tickets valid for a step that waits for room. Otherwise the room that it gets stands empty
 // until they have been asked for again. Only while half of the lanes are free: in a full cell a
 // renewal takes the lane of a question that starts work now.
-void renewTickets(Pass &In, const Job &Of, StepState &Step) {
+void renewTickets(PlacementPass &In, const Job &Of, StepState &Step) {
   if (!Of.Spec->Advice || Step.Advice.OutstandingRequests > 0 || Step.Queued->Late ||
-      !isWithinQuota(In.Cell, Of.Owner, leastCharge(*Step.Spec)) || !hasFreeLanes(In.Cell) ||
+      !isWithinQuota(In.Cell, Of.Owner, minCharge(*Step.Spec)) || !hasFreeLanes(In.Cell) ||
       In.Cell.RenewingTickets.size() >= In.Cell.AdviceConcurrency / RenewalLanesOf)
     return;
   std::vector<std::pair<int64_t, const AdviceState::Permit *>> Usable;
   for (const AdviceState::Permit &Known : Step.Advice.Permits)
     if (const Worker *On = In.Cell.Slots[Known.Slot]; On && isUsable(In, *On, Of, Step))
-      Usable.emplace_back(-roomFor(In, *On, Of, Step).MilliCores, &Known);
+      Usable.emplace_back(-freeCapacityFor(In, *On, Of, Step).MilliCores, &Known);
   std::sort(Usable.begin(), Usable.end());
   Usable.resize(std::min(Usable.size(), namedFor(Step)));
   const std::chrono::duration<double, std::milli> Time =
@@ -350,23 +356,23 @@
   Names.reserve(Usable.size());
   for (const auto &[Room, Known] : Usable)
     Names.push_back(In.Cell.Slots[Known->Slot]->Info.Id);
-  askAdvice(In, Of, Step, std::move(Names));
+  requestAdvice(In, Of, Step, std::move(Names));
   if (Step.Advice.OutstandingRequests > 0)
     In.Cell.RenewingTickets.insert(Step.Key);
 }
 
 // A step found no place among the workers known to be good for it.
-void lookFurther(Pass &In, const Job &Of, StepState &Step) {
+void widenSearch(PlacementPass &In, const Job &Of, StepState &Step) {
   if (Of.Spec->Advice)
-    askUnknown(In, Of, Step);
+    requestAdviceOnUnknown(In, Of, Step);
   else
     noteStarved(In, Of, Step);
 }
 
 // Just after a takeover most steps turn out to be running. To ask for advice on all of them before
 // the workers have answered would hold up those that need it.
-bool mayAsk(const Pass &In, const Job &Of, const StepState &Step) {
-  return In.Asked.count(Of.Spec->Service) == 0 ||
+bool shouldRequestAdvice(const PlacementPass &In, const Job &Of, const StepState &Step) {
+  return In.ReportPendingServices.count(Of.Spec->Service) == 0 ||
          std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
                      [](const TaskState &Task) { return !Task.At && !Task.MayRunElsewhere; });
 }
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -17,7 +17,8 @@
   int64_t Seats = 0; ///< and when less urgent work is stopped.
 };
 
-std::vector<GangSeat> gangSeats(Pass &In, const Job &Of, const StepState &Step, bool Yields) {
+std::vector<GangSeat> gangSeats(PlacementPass &In, const Job &Of, const StepState &Step,
+                                bool Yields) {
   std::vector<GangSeat> Found;
   int64_t Most = Step.Spec->Count;
   if (Step.Spec->MostPerWorker > 0)
@@ -25,16 +26,16 @@
   const Resources Need = needOf(Step);
   std::set<const Worker *> Avoided;
   for (const TaskState &Task : Step.Tasks)
-    if (Task.FailedOn && hasJustFailedOn(In, Task, *Task.FailedOn))
+    if (Task.FailedOn && hasRecentlyFailedOn(In, Task, *Task.FailedOn))
       Avoided.insert(Task.FailedOn);
-  eachAdvised(In, Of, Step, [&](Worker &On) {
+  forEachAdvisedWorker(In, Of, Step, [&](Worker &On) {
     if (!isUsable(In, On, Of, Step) || Avoided.count(&On) || !canPlan(In, Of, Step, On))
       return;
-    const Resources Room = roomFor(In, On, Of, Step);
-    GangSeat Seat{&On, timesFits(Need, Room, Most), 0};
+    const Resources Room = freeCapacityFor(In, On, Of, Step);
+    GangSeat Seat{&On, countFitting(Need, Room, Most), 0};
     Seat.Seats = Seat.Free;
     if (Yields)
-      Seat.Seats = timesFits(Need, Room + yieldable(In, On, Of.Spec->Priority), Most);
+      Seat.Seats = countFitting(Need, Room + preemptibleResources(In, On, Of.Spec->Priority), Most);
     if (Seat.Seats > 0)
       Found.push_back(Seat);
   });
@@ -63,7 +64,8 @@
   return Seats;
 }
 
-void planGang(Pass &In, const Job &Of, StepState &Step, std::vector<GangSeat> Seats, bool Yields) {
+void planGang(PlacementPass &In, const Job &Of, StepState &Step, std::vector<GangSeat> Seats,
+              bool Yields) {
   // Free seats first, then those that cost least: few workers with many seats each.
   std::sort(Seats.begin(), Seats.end(), [](const GangSeat &A, const GangSeat &B) {
     return std::pair(A.Free, A.Seats) > std::pair(B.Free, B.Seats);
@@ -84,10 +86,10 @@
   }
   if (Yields)
     for (Worker *On : Used)
-      makeRoom(In, *On, Of.Spec->Priority);
+      preemptFor(In, *On, Of.Spec->Priority);
 }
 
-void dropPlan(Pass &In, StepState &Step) {
+void dropPlan(PlacementPass &In, StepState &Step) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
     if (Worker *On = Step.Tasks[I].At)
       dropPlanned(In.Cell, *On, {{Step.Key, I}, Step.Tasks[I].Run}, In.Out);
@@ -96,7 +98,7 @@
 }
 
 // True if each member may be started now, which is noted of all.
-bool mayLaunchAll(Pass &In, const StepState &Step) {
+bool mayLaunchAll(PlacementPass &In, const StepState &Step) {
   bool All = true;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
     All = mayLaunch(In.Cell, {Step.Key, I}, *Step.Tasks[I].At, In.Out) && All;
@@ -104,13 +106,13 @@
 }
 
 // Starts a planned gang once each member has its room and its ticket.
-bool launchGang(Pass &In, const Job &Of, StepState &Step) {
+bool launchGang(PlacementPass &In, const Job &Of, StepState &Step) {
   std::set<Worker *> Used;
   for (const TaskState &Task : Step.Tasks)
     Used.insert(Task.At);
   // Tickets that would run out while others are asked for are asked for with them; otherwise those
   // of a gang on many workers are never all valid together.
-  const Milliseconds AskTime = askTime(In, Of, Step, Used.size());
+  const Milliseconds AskTime = adviceLatency(In, Of, Step, Used.size());
   std::vector<std::string> NoTicket;
   bool HasTickets = true;
   bool HasRoom = true;
@@ -123,7 +125,7 @@
     if (!hasTicket(In, Of, Step, *On, AskTime))
       NoTicket.push_back(On->Info.Id);
     Resources Needed;
-    for (uint32_t I = 0; I < heldOf(Step, *On); ++I)
+    for (uint32_t I = 0; I < countTasksOn(Step, *On); ++I)
       Needed += needOf(Step);
     HasRoom = HasRoom && fits(Needed, On->Info.Capacity - On->Booked);
   }
@@ -132,7 +134,7 @@
     Step.WaitReason = !HasRoom      ? "room is being made"
                       : !HasTickets ? "tickets are asked for"
                                     : WaitsForCrashSave;
-    askAdvice(In, Of, Step, std::move(NoTicket));
+    requestAdvice(In, Of, Step, std::move(NoTicket));
     if (In.Now - Step.PlannedAt > In.Cell.Limits.PlanTimeout)
       dropPlan(In, Step);
     return false;
@@ -154,7 +156,7 @@
 }
 
 // Members whose room is only held go when others of the plan have lost theirs with their worker.
-void dropPartialPlan(Pass &In, StepState &Step) {
+void dropPartialPlan(PlacementPass &In, StepState &Step) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
     Worker *On = Step.Tasks[I].At;
     const RunKey Run{{Step.Key, I}, Step.Tasks[I].Run};
@@ -164,7 +166,7 @@
 }
 } // namespace
 
-bool placeGang(Pass &In, const Job &Of, StepState &Step) {
+bool placeGang(PlacementPass &In, const Job &Of, StepState &Step) {
   if (isPlanned(Step))
     return launchGang(In, Of, Step);
   if (Step.BookedTasks > 0)
@@ -174,19 +176,20 @@
     Placeable += isPlaceable(In, Of, Step, I) ? 1 : 0;
   if (Step.BookedTasks > 0 || Placeable < Step.Tasks.size())
     return false;
-  if (!isWithinQuota(In.Cell, Of.Owner, leastCharge(*Step.Spec))) {
+  if (!isWithinQuota(In.Cell, Of.Owner, minCharge(*Step.Spec))) {
     Step.WaitReason = WaitsForQuota;
     return false;
   }
   bool Yields = false;
   std::vector<GangSeat> Seats = gangSeats(In, Of, Step, false);
-  if (sumSeats(Seats) < Step.Spec->Count && !Step.Queued->Late && gainsByStopping(In, Of, Step)) {
+  if (sumSeats(Seats) < Step.Spec->Count && !Step.Queued->Late &&
+      benefitsFromPreemption(In, Of, Step)) {
     Yields = true;
     Seats = gangSeats(In, Of, Step, true);
   }
   if (sumSeats(Seats) < Step.Spec->Count) {
     Step.WaitReason = "the advised workers have no room for the whole gang";
-    lookFurther(In, Of, Step);
+    widenSearch(In, Of, Step);
     return false;
   }
   planGang(In, Of, Step, inOneRack(Step, Seats), Yields);
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -29,7 +29,8 @@
 }
 
 // True if the run would be lost with its worker and can go on elsewhere.
-bool shouldMove(const Pass &In, const StepState &Step, const Worker &On, const Attempt &What) {
+bool shouldMove(const PlacementPass &In, const StepState &Step, const Worker &On,
+                const Attempt &What) {
   const StepSpec &Spec = *Step.Spec;
   if (What.Phase != AttemptPhase::Running || Spec.Gang)
     return false;
@@ -45,23 +46,23 @@
 
 // A place for a run that is to be moved, ready to be taken. Advice and tickets that are missing are
 // asked for.
-bool hasPlaceElsewhere(Pass &In, const Job &Of, StepState &Step, const TaskState &Task) {
-  const Worker *To = findRoom(In, Of, Step, Task);
+bool hasPlaceElsewhere(PlacementPass &In, const Job &Of, StepState &Step, const TaskState &Task) {
+  const Worker *To = selectWorker(In, Of, Step, Task);
   if (!To)
-    askUnknown(In, Of, Step); // after a takeover nothing is known of steps that run
+    requestAdviceOnUnknown(In, Of, Step); // after a takeover nothing is known of steps that run
   else if (hasTicket(In, Of, Step, *To))
     return true;
   else
-    askAdvice(In, Of, Step, {To->Info.Id});
+    requestAdvice(In, Of, Step, {To->Info.Id});
   return false;
 }
 
-bool isLeaving(const Pass &In, const Worker &On) {
+bool isLeaving(const PlacementPass &In, const Worker &On) {
   const bool Missing = !On.Listed && In.Now - On.UnlistedAt > MissingTime;
   return On.Heard && On.Answers && (On.Info.Draining || On.Evacuated || Missing);
 }
 
-void moveIfNeeded(Pass &In, Worker &On, const RunKey &Run) {
+void moveIfNeeded(PlacementPass &In, Worker &On, const RunKey &Run) {
   StepState *Step = findStep(In.Cell, Run.Task.Step);
   if (!Step || Run.Task.Index >= Step->Tasks.size() ||
       !shouldMove(In, *Step, On, On.Attempts.at(Run)))
@@ -77,7 +78,7 @@
 // Work that a leaving worker would take with it is stopped as soon as there is a place for it.
 // Otherwise a lasting task is away until the worker's lease is over (5 s), and a takeover meanwhile
 // holds all old work of the service back for as long.
-void moveFromLeaving(Pass &In) {
+void migrateFromLeavingWorkers(PlacementPass &In) {
   if (In.Now < In.Cell.NextLeaveScan)
     return;
   In.Cell.NextLeaveScan = In.Now + LeaveLookEvery;
--- a/src/scheduler/organisations.cpp
+++ b/src/scheduler/organisations.cpp
@@ -51,16 +51,14 @@
          (Cell.HasConfiguration && isWithin(Of->Usage + Of->UnreportedUsage + More, Of->Maximum));
 }
 
-Resources leastCharge(const StepSpec &Step) {
-  return Step.Gang ? Step.Need * Step.Count : Step.Need;
-}
+Resources minCharge(const StepSpec &Step) { return Step.Gang ? Step.Need * Step.Count : Step.Need; }
 
 namespace {
 // The tasks of the step that may run where this scheduler has not heard of them.
-uint32_t unheardTasks(const Pass &In, const Job &Of, const StepState &Step) {
+uint32_t unheardTasks(const PlacementPass &In, const Job &Of, const StepState &Step) {
   const std::string &Service = Of.Spec->Service;
-  const bool Awaited = In.Awaited.count(Service) > 0;
-  const bool Asked = In.Asked.count(Service) > 0;
+  const bool Awaited = In.UnreportedServices.count(Service) > 0;
+  const bool Asked = In.ReportPendingServices.count(Service) > 0;
   uint32_t Count = 0;
   for (const TaskState &Task : Step.Tasks)
     if (!Task.Done && !Task.At &&
@@ -88,7 +86,7 @@
 // that no worker has reported, though no more than the workers that are still unheard can hold.
 // With the first bound alone an organisation with a backlog stood still until the last worker was
 // heard, up to the length of a lease.
-void chargeUnheard(Pass &In) {
+void chargeUnreported(PlacementPass &In) {
   for (auto &[Name, Of] : In.Cell.Organisations)
     Of.UnreportedUsage = {};
   if (In.Cell.UnreportedWorkers.empty())
@@ -101,7 +99,7 @@
   const std::optional<Resources> Most = unheardRoom(In.Cell);
   for (auto &[Name, Of] : In.Cell.Organisations)
     if (Most)
-      Of.UnreportedUsage = smallest(Of.UnreportedUsage, *Most);
+      Of.UnreportedUsage = componentMin(Of.UnreportedUsage, *Most);
 }
 
 } // namespace valveshelf::sched
--- a/src/scheduler/pass.h
+++ b/src/scheduler/pass.h
@@ -8,16 +8,17 @@
 namespace valveshelf::sched {
 
 /// One pass of placement over the queue.
-struct Pass {
+struct PlacementPass {
   CellState &Cell;
   TimePoint Now;
   Effects &Out;
-  std::set<std::string> Awaited; ///< Services with a worker of the scheduler before that was not
-                                 ///< heard yet,
-  std::set<std::string> Asked;   ///< and with one that has neither answered nor failed to.
-  bool KeepsUrgentRoom = false;  ///< Room for urgent tasks is scarce in the cell.
-  std::optional<Resources> MostFree; ///< In each dimension, the most that any worker had free; read
-                                     ///< by the first that asks (mostFree).
+  std::set<std::string> UnreportedServices; ///< Services with a worker of the scheduler before that
+                                            ///< was not heard yet,
+  std::set<std::string>
+      ReportPendingServices;        ///< and with one that has neither answered nor failed to.
+  bool KeepsUrgentReserve = false;  ///< Room for urgent tasks is scarce in the cell.
+  std::optional<Resources> MaxFree; ///< In each dimension, the most that any worker had free; read
+                                    ///< by the first that asks (mostFree).
 };
 
 // Organisations (organisations.cpp).
@@ -25,67 +26,71 @@
 /// Why a step waits whose organisation has as much running as it may.
 inline constexpr const char *WaitsForQuota = "its organisation's quota";
 /// The least that can start of the step at a time: one task, or a whole gang.
-Resources leastCharge(const StepSpec &Step);
+Resources minCharge(const StepSpec &Step);
 /// Notes what organisations may have running on workers that were not heard yet.
-void chargeUnheard(Pass &In);
+void chargeUnreported(PlacementPass &In);
 
-// Rooms (rooms.cpp).
+// Free capacity (rooms.cpp).
 
 /// True if little of the cell's free room is left to urgent tasks.
-bool isUrgentRoomScarce(CellState &Cell);
+bool isUrgentCapacityScarce(CellState &Cell);
 /// In each dimension, the most that any worker had free, and no question under way claimed, when
 /// the pass first asked.
-const Resources &mostFree(Pass &In);
+const Resources &maxFree(PlacementPass &In);
 bool hasLabel(const WorkerInfo &Info, const std::string &Label);
 /// True if the worker is there and fit for the step.
-bool isSound(const Pass &In, const Worker &On, const Job &Of, const StepState &Step);
+bool isEligible(const PlacementPass &In, const Worker &On, const Job &Of, const StepState &Step);
 /// The same, and nothing begins there that has to begin apart.
-bool isUsable(const Pass &In, const Worker &On, const Job &Of, const StepState &Step);
+bool isUsable(const PlacementPass &In, const Worker &On, const Job &Of, const StepState &Step);
 /// What one task of the step takes of a worker.
 Resources needOf(const StepState &Step);
 /// What the step may still take of the worker.
-Resources roomFor(const Pass &In, const Worker &On, const Job &Of, const StepState &Step);
-uint32_t heldOf(const StepState &Step, const Worker &On);
+Resources freeCapacityFor(const PlacementPass &In, const Worker &On, const Job &Of,
+                          const StepState &Step);
+uint32_t countTasksOn(const StepState &Step, const Worker &On);
 /// True if the worker holds as many tasks of the step as it may.
-bool holdsLimit(const StepState &Step, const Worker &On);
+bool isAtTaskLimit(const StepState &Step, const Worker &On);
 /// True if the step can meet its objective though others have to be stopped first.
-bool gainsByStopping(const Pass &In, const Job &Of, const StepState &Step);
+bool benefitsFromPreemption(const PlacementPass &In, const Job &Of, const StepState &Step);
 /// What stopping work less urgent than \p Priority would free.
-Resources yieldable(const Pass &In, const Worker &On, int Priority);
+Resources preemptibleResources(const PlacementPass &In, const Worker &On, int Priority);
 /// Stops the work that loses least until what is planned on the worker has its room.
-void makeRoom(Pass &In, Worker &On, int Priority);
+void preemptFor(PlacementPass &In, Worker &On, int Priority);
 /// The best worker with free room for the task; null: none.
-Worker *findRoom(Pass &In, const Job &Of, StepState &Step, const TaskState &Task);
+Worker *selectWorker(PlacementPass &In, const Job &Of, StepState &Step, const TaskState &Task);
 /// A worker where stopping less urgent work makes room; null: none.
-Worker *findYielding(Pass &In, const Job &Of, StepState &Step, const TaskState &Task);
+Worker *selectWorkerToPreempt(PlacementPass &In, const Job &Of, StepState &Step,
+                              const TaskState &Task);
 /// True if the task has just failed on the worker and goes elsewhere for a while.
-bool hasJustFailedOn(const Pass &In, const TaskState &Task, const Worker &On);
+bool hasRecentlyFailedOn(const PlacementPass &In, const TaskState &Task, const Worker &On);
 
 // Advice (advice.cpp).
 
 /// True if the step needs no ticket there or has one that is valid for \p Time from now.
-bool hasTicket(const Pass &In, const Job &Of, const StepState &Step, const Worker &On,
+bool hasTicket(const PlacementPass &In, const Job &Of, const StepState &Step, const Worker &On,
                Milliseconds Time = Milliseconds(0));
 /// From asking about so many workers until the answers can be used, when no lane is waited for.
-Milliseconds askTime(const Pass &In, const Job &Of, const StepState &Step, size_t Workers);
+Milliseconds adviceLatency(const PlacementPass &In, const Job &Of, const StepState &Step,
+                           size_t Workers);
 /// True if a question of the step would be asked at once.
-bool canAsk(const Pass &In, const Job &Of, const StepState &Step);
+bool canRequestAdvice(const PlacementPass &In, const Job &Of, const StepState &Step);
 /// True if the step may be planned on the worker: it has a ticket, or one can be asked for now.
-bool canPlan(const Pass &In, const Job &Of, const StepState &Step, const Worker &On);
+bool canPlan(const PlacementPass &In, const Job &Of, const StepState &Step, const Worker &On);
 /// Asks about the workers, unless the step's last question is still under way.
-void askAdvice(Pass &In, const Job &Of, StepState &Step, std::vector<std::string> Workers);
+void requestAdvice(PlacementPass &In, const Job &Of, StepState &Step,
+                   std::vector<std::string> Workers);
 /// Asks about workers of which nothing is known yet, those with the most room first.
-void askUnknown(Pass &In, const Job &Of, StepState &Step);
+void requestAdviceOnUnknown(PlacementPass &In, const Job &Of, StepState &Step);
 /// Keeps tickets valid for a step that waits for room.
-void renewTickets(Pass &In, const Job &Of, StepState &Step);
+void renewTickets(PlacementPass &In, const Job &Of, StepState &Step);
 /// A step found no place among the workers known to be good for it.
-void lookFurther(Pass &In, const Job &Of, StepState &Step);
+void widenSearch(PlacementPass &In, const Job &Of, StepState &Step);
 /// True if the step is worth a question now.
-bool mayAsk(const Pass &In, const Job &Of, const StepState &Step);
+bool shouldRequestAdvice(const PlacementPass &In, const Job &Of, const StepState &Step);
 
 /// Calls \p Visit with each worker on which advice lets the step run.
 template <class Visitor>
-void eachAdvised(Pass &In, const Job &Of, const StepState &Step, Visitor Visit) {
+void forEachAdvisedWorker(PlacementPass &In, const Job &Of, const StepState &Step, Visitor Visit) {
   if (!Of.Spec->Advice) {
     for (auto &[Id, On] : In.Cell.Workers)
       Visit(On);
@@ -101,17 +106,17 @@
 /// Why a step waits whose task may have crashed a worker.
 inline constexpr const char *WaitsForCrashSave = "what crashed under it is being saved";
 
-bool isPlaceable(const Pass &In, const Job &Of, const StepState &Step, uint32_t Index);
+bool isPlaceable(const PlacementPass &In, const Job &Of, const StepState &Step, uint32_t Index);
 uint32_t nextRun(const CellState &Cell, const StepState &Step, uint32_t Index);
 /// Orders the start of a task that is planned on the worker.
-void orderStart(Pass &In, const Job &Of, StepState &Step, uint32_t Index, Worker &On,
+void orderStart(PlacementPass &In, const Job &Of, StepState &Step, uint32_t Index, Worker &On,
                 Attempt &What);
 /// Plans or launches a gang; false if it found no room.
-bool placeGang(Pass &In, const Job &Of, StepState &Step);
+bool placeGang(PlacementPass &In, const Job &Of, StepState &Step);
 
 // Workers that leave (leaving.cpp).
 
 /// Stops work that a leaving worker would take with it, where there is a place for it elsewhere.
-void moveFromLeaving(Pass &In);
+void migrateFromLeavingWorkers(PlacementPass &In);
 
 } // namespace valveshelf::sched
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -18,16 +18,16 @@
 // Weight of the newest urgent task in their usual size.
 constexpr int64_t UrgentMemory = 64;
 
-Pass beginPass(CellState &Cell, TimePoint Now, Effects &Out) {
-  Pass In{Cell, Now, Out, {}, {}, false, {}};
+PlacementPass beginPass(CellState &Cell, TimePoint Now, Effects &Out) {
+  PlacementPass In{Cell, Now, Out, {}, {}, false, {}};
   for (const auto &[Id, Service] : Cell.UnreportedWorkers) {
-    In.Awaited.insert(Service);
+    In.UnreportedServices.insert(Service);
     const auto Found = Cell.Workers.find(Id);
     if (Found != Cell.Workers.end() && Found->second.Answers && !Found->second.Heard)
-      In.Asked.insert(Service);
+      In.ReportPendingServices.insert(Service);
   }
-  In.KeepsUrgentRoom = isUrgentRoomScarce(Cell);
-  chargeUnheard(In);
+  In.KeepsUrgentReserve = isUrgentCapacityScarce(Cell);
+  chargeUnreported(In);
   return In;
 }
 
@@ -36,7 +36,7 @@
 }
 } // namespace
 
-void orderStart(Pass &In, const Job &Of, StepState &Step, uint32_t Index, Worker &On,
+void orderStart(PlacementPass &In, const Job &Of, StepState &Step, uint32_t Index, Worker &On,
                 Attempt &What) {
   const RunKey Run{{Step.Key, Index}, Step.Tasks[Index].Run};
   setPhase(In.Cell, On, Run, AttemptPhase::Starting, In.Now);
@@ -48,7 +48,7 @@
 
 namespace {
 // Notes for the log what was ordered for the step since \p Before starts.
-void notePlaced(Pass &In, const Job &Of, StepState &Step, size_t Before) {
+void notePlaced(PlacementPass &In, const Job &Of, StepState &Step, size_t Before) {
   if (In.Out.Starts.size() == Before)
     return;
   std::set<std::string> Workers;
@@ -72,18 +72,18 @@
   return At != Cell.OrphanedRuns.end() && At->Task == Task;
 }
 
-bool isPlaceable(const Pass &In, const Job &Of, const StepState &Step, uint32_t Index) {
+bool isPlaceable(const PlacementPass &In, const Job &Of, const StepState &Step, uint32_t Index) {
   const TaskState &Task = Step.Tasks[Index];
   const std::string &Service = Of.Spec->Service;
-  const bool MayRun = (Task.MayRunElsewhere && In.Awaited.count(Service) > 0) ||
-                      (Task.MayRunMeanwhile && In.Asked.count(Service) > 0);
+  const bool MayRun = (Task.MayRunElsewhere && In.UnreportedServices.count(Service) > 0) ||
+                      (Task.MayRunMeanwhile && In.ReportPendingServices.count(Service) > 0);
   return !Task.Done && !Task.At && !MayRun && Task.NotBefore <= In.Now &&
          !waitsForCrashSave(In.Cell, Task) && !hasStray(In.Cell, {Step.Key, Index});
 }
 
 namespace {
 // Starts what is planned and has its room and its ticket.
-void launchSingles(Pass &In, const Job &Of, StepState &Step) {
+void launchSingles(PlacementPass &In, const Job &Of, StepState &Step) {
   if (Step.PlannedTasks == 0)
     return;
   std::vector<std::string> NoTicket;
@@ -95,7 +95,7 @@
     Attempt &What = On->Attempts.at(Run);
     if (What.Phase != AttemptPhase::Planned)
       continue;
-    const bool Usable = What.OnTrial ? isSound(In, *On, Of, Step) : isUsable(In, *On, Of, Step);
+    const bool Usable = What.OnTrial ? isEligible(In, *On, Of, Step) : isUsable(In, *On, Of, Step);
     if (!Usable || In.Now - What.PhaseSince > In.Cell.Limits.PlanTimeout)
       dropPlanned(In.Cell, *On, Run, In.Out);
     else if (!hasTicket(In, Of, Step, *On))
@@ -106,7 +106,7 @@
   }
   std::sort(NoTicket.begin(), NoTicket.end());
   NoTicket.erase(std::unique(NoTicket.begin(), NoTicket.end()), NoTicket.end());
-  askAdvice(In, Of, Step, std::move(NoTicket));
+  requestAdvice(In, Of, Step, std::move(NoTicket));
 }
 
 void noteUrgentNeed(CellState &Cell, const Resources &Need) {
@@ -115,7 +115,7 @@
   Usual.MemoryMb += (Need.MemoryMb - Usual.MemoryMb) / UrgentMemory;
 }
 
-bool placeSingles(Pass &In, const Job &Of, StepState &Step) {
+bool placeSingles(PlacementPass &In, const Job &Of, StepState &Step) {
   bool Missed = false;
   bool OverQuota = false;
   bool WaitsForSave = false;
@@ -129,11 +129,11 @@
       Missed = true;
       continue;
     }
-    Worker *On = findRoom(In, Of, Step, Task);
-    const bool Yields =
-        !On && !beginsApart(Step, Task) && !Step.Queued->Late && gainsByStopping(In, Of, Step);
+    Worker *On = selectWorker(In, Of, Step, Task);
+    const bool Yields = !On && !beginsApart(Step, Task) && !Step.Queued->Late &&
+                        benefitsFromPreemption(In, Of, Step);
     if (Yields)
-      On = findYielding(In, Of, Step, Task);
+      On = selectWorkerToPreempt(In, Of, Step, Task);
     if (!On) {
       Missed = true;
       continue;
@@ -143,11 +143,11 @@
     if (Of.Spec->Priority == 0)
       noteUrgentNeed(In.Cell, needOf(Step));
     if (Yields)
-      makeRoom(In, *On, Of.Spec->Priority);
+      preemptFor(In, *On, Of.Spec->Priority);
   }
   launchSingles(In, Of, Step);
   if (Missed && !OverQuota)
-    lookFurther(In, Of, Step);
+    widenSearch(In, Of, Step);
   Step.WaitReason = OverQuota      ? WaitsForQuota
                     : Missed       ? "no advised worker has room"
                     : WaitsForSave ? WaitsForCrashSave
@@ -156,7 +156,7 @@
 }
 
 // Begins a common look at all steps that wait, if one is due.
-bool beginCommonLook(Pass &In) {
+bool beginCommonLook(PlacementPass &In) {
   if (In.Now < In.Cell.NextFullScan)
     return false;
   In.Cell.NextFullScan = In.Now + LookEvery;
@@ -171,15 +171,16 @@
 }
 
 // The first question of a step, unless nothing of it could start anyway.
-void askFirst(Pass &In, const Job &Of, StepState &Step) {
-  const bool MayStart = isWithinQuota(In.Cell, Of.Owner, leastCharge(*Step.Spec));
+void askFirst(PlacementPass &In, const Job &Of, StepState &Step) {
+  const bool MayStart = isWithinQuota(In.Cell, Of.Owner, minCharge(*Step.Spec));
   Step.WaitReason = MayStart ? "" : WaitsForQuota;
-  if (MayStart && mayAsk(In, Of, Step))
-    askUnknown(In, Of, Step);
+  if (MayStart && shouldRequestAdvice(In, Of, Step))
+    requestAdviceOnUnknown(In, Of, Step);
 }
 
 // True if the step is left to the next common look: a step before it waits for room.
-bool leavesItsTurn(const Pass &In, const QueueKey &Entry, const StepState &Step, bool IsCommon) {
+bool leavesItsTurn(const PlacementPass &In, const QueueKey &Entry, const StepState &Step,
+                   bool IsCommon) {
   if (Entry.Priority == 0 || Step.PlannedTasks > 0 || Step.Advice.HasNewAnswer)
     return false;
   if (IsCommon)
@@ -197,7 +198,7 @@
 void place(CellState &Cell, TimePoint Now, Effects &Out) {
   if (!Cell.Loaded)
     return;
-  Pass In = beginPass(Cell, Now, Out);
+  PlacementPass In = beginPass(Cell, Now, Out);
   const bool IsCommon = beginCommonLook(In);
   int Misses = 0;
   std::tuple<bool, bool, int> Group{false, false, 0};
@@ -243,7 +244,7 @@
     Misses = Placed ? 0 : Misses + 1;
     Skipping = Misses >= MaxMissesInARow;
   }
-  moveFromLeaving(In);
+  migrateFromLeavingWorkers(In);
 }
 
 } // namespace valveshelf::sched
--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -23,14 +23,14 @@
          std::find(Info.Labels.begin(), Info.Labels.end(), Label) != Info.Labels.end();
 }
 
-bool isSound(const Pass &In, const Worker &On, const Job &Of, const StepState &Step) {
+bool isEligible(const PlacementPass &In, const Worker &On, const Job &Of, const StepState &Step) {
   return On.Heard && On.Saved && takesWork(On) && On.Answers && !On.Full &&
          On.SetAsideUntil <= In.Now && On.Info.Service == Of.Spec->Service &&
          hasLabel(On.Info, Step.Spec->RequiredLabel);
 }
 
-bool isUsable(const Pass &In, const Worker &On, const Job &Of, const StepState &Step) {
-  return On.Trials == 0 && isSound(In, On, Of, Step);
+bool isUsable(const PlacementPass &In, const Worker &On, const Job &Of, const StepState &Step) {
+  return On.Trials == 0 && isEligible(In, On, Of, Step);
 }
 
 namespace {
@@ -46,7 +46,7 @@
 // Room kept on each worker for one urgent task is a fifth of a cell of small workers, and work that
 // can wait would stand before it while hundreds of urgent tasks could be started. It is kept only
 // while the cell as a whole has little of it.
-bool isUrgentRoomScarce(CellState &Cell) {
+bool isUrgentCapacityScarce(CellState &Cell) {
   const auto Wanted =
       static_cast<int64_t>(Cell.Limits.UrgentHeadroom * Cell.UrgentAttempts) + LeastUrgentSeats;
   const Resources Need = usualUrgentNeed(Cell);
@@ -62,7 +62,7 @@
     const Worker *On = Cell.Slots[Slot];
     if (!On || !On->Heard || !On->Answers || !takesWork(*On))
       continue;
-    const int64_t Here = timesFits(Need, On->Info.Capacity - On->Booked - On->Planned, Wanted);
+    const int64_t Here = countFitting(Need, On->Info.Capacity - On->Booked - On->Planned, Wanted);
     if (Here > 0 && Seats == 0)
       Cell.UrgentScanStart = Slot;
     Seats += Here;
@@ -72,20 +72,20 @@
   return true;
 }
 
-const Resources &mostFree(Pass &In) {
-  if (In.MostFree)
-    return *In.MostFree;
-  In.MostFree.emplace();
+const Resources &maxFree(PlacementPass &In) {
+  if (In.MaxFree)
+    return *In.MaxFree;
+  In.MaxFree.emplace();
   for (const Worker *On : In.Cell.Slots)
     if (On && On->Heard && !On->Evacuated)
-      *In.MostFree =
-          largest(*In.MostFree, On->Info.Capacity - On->Booked - On->Planned - On->Claimed);
-  return *In.MostFree;
+      *In.MaxFree =
+          componentMax(*In.MaxFree, On->Info.Capacity - On->Booked - On->Planned - On->Claimed);
+  return *In.MaxFree;
 }
 
 namespace {
 // What is kept free on the worker for urgent tasks: room for one of the usual size.
-Resources urgentReserve(const Pass &In, const Worker &On) {
+Resources urgentReserve(const PlacementPass &In, const Worker &On) {
   const SchedulerLimits &Limits = In.Cell.Limits;
   const Resources &Whole = On.Info.Capacity;
   const auto Part = [&](int64_t Capacity, int64_t Wanted) {
@@ -108,33 +108,34 @@
 
 // What the step may still take. Work that can wait leaves some room for work that can't, but for
 // gangs, whose members are too large for what is left between them, and tasks that need it all.
-Resources roomFor(const Pass &In, const Worker &On, const Job &Of, const StepState &Step) {
+Resources freeCapacityFor(const PlacementPass &In, const Worker &On, const Job &Of,
+                          const StepState &Step) {
   const Resources Room = On.Info.Capacity - On.Booked - On.Planned;
-  if (Of.Spec->Priority == 0 || Step.Spec->Gang || !In.KeepsUrgentRoom)
+  if (Of.Spec->Priority == 0 || Step.Spec->Gang || !In.KeepsUrgentReserve)
     return Room;
   const Resources Reserve = urgentReserve(In, On);
   return fits(needOf(Step), On.Info.Capacity - Reserve) ? Room - Reserve : Room;
 }
 
-uint32_t heldOf(const StepState &Step, const Worker &On) {
+uint32_t countTasksOn(const StepState &Step, const Worker &On) {
   return static_cast<uint32_t>(std::count_if(
       Step.Tasks.begin(), Step.Tasks.end(), [&](const TaskState &Task) { return Task.At == &On; }));
 }
 
-bool holdsLimit(const StepState &Step, const Worker &On) {
-  return Step.Spec->MostPerWorker > 0 && heldOf(Step, On) >= Step.Spec->MostPerWorker;
+bool isAtTaskLimit(const StepState &Step, const Worker &On) {
+  return Step.Spec->MostPerWorker > 0 && countTasksOn(Step, On) >= Step.Spec->MostPerWorker;
 }
 
 // True if the task has just failed on the worker. Where few advised workers have room it would go
 // back at once and use up its attempts on a worker that fails everything.
-bool hasJustFailedOn(const Pass &In, const TaskState &Task, const Worker &On) {
+bool hasRecentlyFailedOn(const PlacementPass &In, const TaskState &Task, const Worker &On) {
   return Task.FailedOn == &On && In.Now - Task.FailedAt < In.Cell.Limits.FailureAvoidanceTime;
 }
 
 namespace {
 // What could be stopped on the worker in favour of more urgent work: what is late already, or can
 // still meet its objective when it goes on elsewhere.
-bool canYield(const Pass &In, const Attempt &What, int Priority) {
+bool canYield(const PlacementPass &In, const Attempt &What, int Priority) {
   if (What.Phase != AttemptPhase::Running || !What.IsPreemptible || What.Priority <= Priority)
     return false;
   const SchedulerLimits &Limits = In.Cell.Limits;
@@ -145,14 +146,14 @@
 } // namespace
 
 // True if the step can meet its objective though others have to be stopped first.
-bool gainsByStopping(const Pass &In, const Job &Of, const StepState &Step) {
+bool benefitsFromPreemption(const PlacementPass &In, const Job &Of, const StepState &Step) {
   if (Of.IsOverShare)
     return false; // it gets the room that nobody within a share needs
   return Step.Spec->Lasting ||
          In.Now + In.Cell.Limits.StopTime + Step.Spec->Estimate < Of.Objective;
 }
 
-Resources yieldable(const Pass &In, const Worker &On, int Priority) {
+Resources preemptibleResources(const PlacementPass &In, const Worker &On, int Priority) {
   Resources Sum;
   if (On.Stoppable == Resources{})
     return Sum;
@@ -163,7 +164,7 @@
 }
 
 // Stops the work that loses least until \p Missing would be free.
-void makeRoom(Pass &In, Worker &On, int Priority) {
+void preemptFor(PlacementPass &In, Worker &On, int Priority) {
   Resources Over = On.Booked + On.Planned - On.Info.Capacity;
   std::vector<std::pair<TimePoint, RunKey>> Candidates;
   for (const auto &[Run, What] : On.Attempts) {
@@ -193,7 +194,7 @@
   }
 };
 
-Score scoreOf(const Pass &In, const Job &Of, const StepState &Step, const TaskState &Task,
+Score scoreOf(const PlacementPass &In, const Job &Of, const StepState &Step, const TaskState &Task,
               const Worker &On) {
   Score Value;
   const bool Far = !Step.Spec->NearRack.empty() && On.Info.Rack != Step.Spec->NearRack;
@@ -205,22 +206,22 @@
   const bool Apart = beginsApart(Step, Task);
   Value.Penalty += Apart && !isQuiet(On) ? NotQuietPenalty : 0;
   // Urgent work is spread; work that can wait is packed, which leaves large gaps for gangs.
-  const int64_t Left = roomFor(In, On, Of, Step).MilliCores;
+  const int64_t Left = freeCapacityFor(In, On, Of, Step).MilliCores;
   Value.Left = Of.Spec->Priority == 0 || Apart ? -Left : Left;
   return Value;
 }
 } // namespace
 
-Worker *findRoom(Pass &In, const Job &Of, StepState &Step, const TaskState &Task) {
+Worker *selectWorker(PlacementPass &In, const Job &Of, StepState &Step, const TaskState &Task) {
   Worker *Best = nullptr;
   Score BestScore;
   const Resources Need = needOf(Step);
   const bool Apart = beginsApart(Step, Task);
-  eachAdvised(In, Of, Step, [&](Worker &On) {
+  forEachAdvisedWorker(In, Of, Step, [&](Worker &On) {
     if (Apart && On.Planned != Resources{})
       return;
-    if (!fits(Need, roomFor(In, On, Of, Step)) || !isUsable(In, On, Of, Step) ||
-        holdsLimit(Step, On) || hasJustFailedOn(In, Task, On) || !canPlan(In, Of, Step, On))
+    if (!fits(Need, freeCapacityFor(In, On, Of, Step)) || !isUsable(In, On, Of, Step) ||
+        isAtTaskLimit(Step, On) || hasRecentlyFailedOn(In, Task, On) || !canPlan(In, Of, Step, On))
       return;
     const Score Value = scoreOf(In, Of, Step, Task, On);
     if (!Best || Value < BestScore) {
@@ -232,21 +233,22 @@
 }
 
 // A worker where stopping less urgent work makes room; the one with most of it.
-Worker *findYielding(Pass &In, const Job &Of, StepState &Step, const TaskState &Task) {
+Worker *selectWorkerToPreempt(PlacementPass &In, const Job &Of, StepState &Step,
+                              const TaskState &Task) {
   Worker *Best = nullptr;
   int64_t BestRoom = 0;
   const Resources Need = needOf(Step);
   const int Priority = Of.Spec->Priority;
-  eachAdvised(In, Of, Step, [&](Worker &On) {
-    const Resources Free = roomFor(In, On, Of, Step);
+  forEachAdvisedWorker(In, Of, Step, [&](Worker &On) {
+    const Resources Free = freeCapacityFor(In, On, Of, Step);
     const Resources Most = Free + On.Stoppable;
     // Most workers are passed over by this bound alone, without a look at each run there.
     if (!fits(Need, Most) || (Best && Most.MilliCores <= BestRoom))
       return;
-    if (!isUsable(In, On, Of, Step) || holdsLimit(Step, On) || hasJustFailedOn(In, Task, On) ||
-        !canPlan(In, Of, Step, On))
+    if (!isUsable(In, On, Of, Step) || isAtTaskLimit(Step, On) ||
+        hasRecentlyFailedOn(In, Task, On) || !canPlan(In, Of, Step, On))
       return;
-    const Resources Room = Free + yieldable(In, On, Priority);
+    const Resources Room = Free + preemptibleResources(In, On, Priority);
     if (fits(Need, Room) && (!Best || Room.MilliCores > BestRoom)) {
       Best = &On;
       BestRoom = Room.MilliCores;
--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -256,7 +256,7 @@
       return;
     const bool CountsStill = Now < Which->BeforeCounts;
     Which->Before =
-        CountsStill ? largest(Which->Before, Which->Info.Capacity) : Which->Info.Capacity;
+        CountsStill ? componentMax(Which->Before, Which->Info.Capacity) : Which->Info.Capacity;
     Which->BeforeCounts = Now + HeardWithin;
     Which->Info.Capacity = Draw(1) == 0 ? Resources{4000, 4000, 0} : Resources{8000, 8000, 0};
     after(Milliseconds(Draw(1500)), [this, Which] {
--- a/testsuite/standins/users_platform.cpp
+++ b/testsuite/standins/users_platform.cpp
@@ -295,7 +295,7 @@
 
   void resize(Seat &Of, const Resources &Capacity) {
     const bool CountsStill = Steady::now() < Of.BeforeCounts;
-    Of.Before = CountsStill ? largest(Of.Before, Of.Capacity) : Of.Capacity;
+    Of.Before = CountsStill ? componentMax(Of.Before, Of.Capacity) : Of.Capacity;
     Of.BeforeCounts = Steady::now() + ShrunkHeardWithin;
     Of.Capacity = Capacity;
     if (!Of.Dead)
