--- a/src/base/packing.cpp
+++ b/src/base/compression.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // Deflate, by Boost.Beast.
-#include "valveshelf/packing.h"
+#include "valveshelf/compression.h"
 
 #include <boost/beast/zlib/deflate_stream.hpp>
 #include <boost/beast/zlib/inflate_stream.hpp>
@@ -10,7 +10,7 @@
 namespace valveshelf {
 namespace zlib = boost::beast::zlib;
 
-std::string pack(std::string_view Text) {
+std::string compress(std::string_view Text) {
   zlib::deflate_stream Stream;
   std::string Packed(Stream.upper_bound(Text.size()), '\0');
   zlib::z_params Step;
@@ -24,7 +24,7 @@
   return Packed;
 }
 
-Result<std::string> unpack(std::string_view Packed, size_t Most) {
+Result<std::string> decompress(std::string_view Packed, size_t Most) {
   const Error Unreadable{ErrorKind::BadRequest, "the packed text can't be read"};
   zlib::inflate_stream Stream;
   zlib::z_params Step;
--- a/src/base/packing_test.cpp
+++ b/src/base/compression_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // Packed texts: whole, cut, foreign and too long.
-#include "valveshelf/packing.h"
+#include "valveshelf/compression.h"
 
 #include <gtest/gtest.h>
 
@@ -16,18 +16,18 @@
 
 TEST(Packing, ATextIsReadAsItWas) {
   for (const std::string &Text : {std::string(), std::string("x"), configurationText()}) {
-    const Result<std::string> Read = unpack(pack(Text), 1 << 20);
+    const Result<std::string> Read = decompress(compress(Text), 1 << 20);
     ASSERT_TRUE(ok(Read));
     EXPECT_EQ(value(Read), Text);
   }
-  EXPECT_LT(pack(configurationText()).size() * 5, configurationText().size());
+  EXPECT_LT(compress(configurationText()).size() * 5, configurationText().size());
 }
 
 TEST(Packing, WhatIsCutForeignOrTooLongIsRefused) {
-  const std::string Packed = pack(configurationText());
-  EXPECT_FALSE(ok(unpack(std::string_view(Packed).substr(0, Packed.size() / 2), 1 << 20)));
-  EXPECT_FALSE(ok(unpack("{\"version\":7}", 1 << 20)));
-  EXPECT_FALSE(ok(unpack(Packed, 1000)));
+  const std::string Packed = compress(configurationText());
+  EXPECT_FALSE(ok(decompress(std::string_view(Packed).substr(0, Packed.size() / 2), 1 << 20)));
+  EXPECT_FALSE(ok(decompress("{\"version\":7}", 1 << 20)));
+  EXPECT_FALSE(ok(decompress(Packed, 1000)));
 }
 
 } // namespace
--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -9,8 +9,8 @@
 #include "cell/leadership.h"
 #include "valveshelf/cell_link.h"
 #include "valveshelf/cell_metrics.h"
+#include "valveshelf/compression.h"
 #include "valveshelf/events.h"
-#include "valveshelf/packing.h"
 
 #include <boost/asio.hpp>
 
@@ -170,7 +170,7 @@
     const cell::ConfigurationReply &Got = value(Reply);
     Result<std::string> Newer = Got.configuration();
     if (Got.packed())
-      Newer = unpack(Got.configuration(), MostConfigurationBytes);
+      Newer = decompress(Got.configuration(), MostConfigurationBytes);
     if (!ok(Newer))
       co_return error(Newer);
     co_return PeerConfiguration{std::move(value(Newer)), Got.version(),
@@ -183,7 +183,7 @@
     cell::ConfigurationReply Reply;
     if (!Known.Newer.empty()) {
       if (PackedVersion != Known.Version)
-        Packed = pack(Known.Newer);
+        Packed = compress(Known.Newer);
       PackedVersion = Known.Version;
       Reply.set_configuration(Packed);
       Reply.set_packed(true);
--- a/src/include/valveshelf/packing.h
+++ b/src/include/valveshelf/compression.h
@@ -10,8 +10,8 @@
 namespace valveshelf {
 
 /// Deflated; a configuration takes a tenth.
-std::string pack(std::string_view Text);
+std::string compress(std::string_view Text);
 /// BadRequest if \p Packed can't be read or holds more than \p Most bytes.
-Result<std::string> unpack(std::string_view Packed, size_t Most);
+Result<std::string> decompress(std::string_view Packed, size_t Most);
 
 } // namespace valveshelf
