--- a/src/base/selector.cpp
+++ b/src/base/selector.cpp
@@ -35,34 +35,34 @@
   return Parts;
 }
 
-Error wrong(const std::string &Part) {
+Error invalidTerm(const std::string &Part) {
   return {ErrorKind::BadRequest,
           "selector term '" + Part +
               "' is not one of key=value, key!=value, key in (a,b), key notin (a,b), key, !key"};
 }
 
-Result<SelectorTerm> checked(SelectorTerm Term, const std::string &Part) {
+Result<SelectorTerm> validated(SelectorTerm Term, const std::string &Part) {
   if (!isLabelText(Term.Key) || !std::all_of(Term.Values.begin(), Term.Values.end(), isLabelText))
-    return wrong(Part);
+    return invalidTerm(Part);
   return Term;
 }
 
 Result<SelectorTerm> parseSet(const std::string &Part, size_t Open) {
   if (Part.back() != ')')
-    return wrong(Part);
+    return invalidTerm(Part);
   SelectorTerm Term;
   const std::string Head = trim(Part.substr(0, Open));
   const auto Space = Head.find_last_of(" \t");
   if (Space == std::string::npos)
-    return wrong(Part);
+    return invalidTerm(Part);
   const std::string Word = Head.substr(Space + 1);
   if (Word != "in" && Word != "notin")
-    return wrong(Part);
+    return invalidTerm(Part);
   Term.Op = Word == "in" ? SelectorTerm::Operator::In : SelectorTerm::Operator::NotIn;
   Term.Key = trim(Head.substr(0, Space));
   for (const std::string &Value : splitTerms(Part.substr(Open + 1, Part.size() - Open - 2)))
     Term.Values.push_back(trim(Value));
-  return checked(std::move(Term), Part);
+  return validated(std::move(Term), Part);
 }
 
 Result<SelectorTerm> parseTerm(const std::string &Part) {
@@ -70,12 +70,13 @@
   if (const auto Open = Part.find('('); Open != std::string::npos)
     return parseSet(Part, Open);
   if (const auto At = Part.find("!="); At != std::string::npos && At > 0)
-    return checked({trim(Part.substr(0, At)), Operator::NotIn, {trim(Part.substr(At + 2))}}, Part);
+    return validated({trim(Part.substr(0, At)), Operator::NotIn, {trim(Part.substr(At + 2))}},
+                     Part);
   if (const auto At = Part.find('='); At != std::string::npos)
-    return checked({trim(Part.substr(0, At)), Operator::In, {trim(Part.substr(At + 1))}}, Part);
+    return validated({trim(Part.substr(0, At)), Operator::In, {trim(Part.substr(At + 1))}}, Part);
   if (Part.front() == '!')
-    return checked({trim(Part.substr(1)), Operator::Absent, {}}, Part);
-  return checked({Part, Operator::Exists, {}}, Part);
+    return validated({trim(Part.substr(1)), Operator::Absent, {}}, Part);
+  return validated({Part, Operator::Exists, {}}, Part);
 }
 
 bool meets(const SelectorTerm &Term, const Labels &Value) {
@@ -106,7 +107,7 @@
   for (const std::string &Raw : splitTerms(Text)) {
     const std::string Part = trim(Raw);
     if (Part.empty())
-      return wrong(Part);
+      return invalidTerm(Part);
     Result<SelectorTerm> Term = parseTerm(Part);
     if (!ok(Term))
       return error(Term);
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -436,10 +436,10 @@
 OrganisationState *findOrAddOrganisation(CellState &Cell, const std::string &Name);
 /// Counts a job that the organisation handed in at \p At against its share, a burst of one second
 /// included. False: the job lies beyond it.
-bool consumeShare(OrganisationState &Of, WallTime At);
+bool consumeShare(OrganisationState &Org, WallTime At);
 /// True if the organisation may have \p More running. Without \p Of there is no limit; until the
 /// configuration is known no organisation may have anything started.
-bool isWithinQuota(const CellState &Cell, const OrganisationState *Of, const Resources &More);
+bool isWithinQuota(const CellState &Cell, const OrganisationState *Org, const Resources &More);
 
 // Availability zones.
 
@@ -492,30 +492,30 @@
 /// The attempt of a task; null: it has none.
 Attempt *attemptOf(const StepState &Step, uint32_t Index);
 /// Books an attempt of the task; removes it again.
-Attempt &book(CellState &Cell, StepState &Step, uint32_t Index, Worker &On, uint32_t Run,
-              AttemptPhase Phase, const Job &Of, TimePoint Now);
-void unbook(CellState &Cell, Worker &On, const RunKey &Run);
+Attempt &book(CellState &Cell, StepState &Step, uint32_t Index, Worker &W, uint32_t Run,
+              AttemptPhase Phase, const Job &J, TimePoint Now);
+void unbook(CellState &Cell, Worker &W, const RunKey &Run);
 /// Gives up the room that is held for an attempt of which nothing was sent.
-void dropPlanned(CellState &Cell, Worker &On, const RunKey &Run, Effects &Out);
-void setPhase(CellState &Cell, Worker &On, const RunKey &Run, AttemptPhase Phase, TimePoint Now);
+void dropPlanned(CellState &Cell, Worker &W, const RunKey &Run, Effects &Out);
+void setPhase(CellState &Cell, Worker &W, const RunKey &Run, AttemptPhase Phase, TimePoint Now);
 /// The permit for the worker, or null if it is not known to be good for the step.
-const AdviceState::Permit *findPermit(const StepState &Step, const Worker &On);
-AdviceState::Permit *findPermit(StepState &Step, const Worker &On);
+const AdviceState::Permit *findPermit(const StepState &Step, const Worker &W);
+AdviceState::Permit *findPermit(StepState &Step, const Worker &W);
 /// True if the advice service has answered about the worker.
-bool hasAdviceOn(const StepState &Step, const Worker &On);
+bool hasAdviceOn(const StepState &Step, const Worker &W);
 /// Orders the stop of a run, or drops it if it was only planned.
-void stopAttempt(CellState &Cell, Worker &On, const RunKey &Run, const char *Why, TimePoint Now,
+void stopAttempt(CellState &Cell, Worker &W, const RunKey &Run, const char *Why, TimePoint Now,
                  Effects &Out);
 /// True if the step can't end by its job's objective any more. A step that lasts has no end to be
 /// late with: it serves from when it is at work.
-bool isLate(const Job &Of, const StepState &Step, TimePoint Now);
+bool isLate(const Job &J, const StepState &Step, TimePoint Now);
 /// Puts the step into the placement queue if one of its tasks can be placed.
-void queueStep(CellState &Cell, Job &Of, StepState &Step, TimePoint Now);
-void requestSave(CellState &Cell, Job &Of, Effects &Out);
+void queueStep(CellState &Cell, Job &J, StepState &Step, TimePoint Now);
+void requestSave(CellState &Cell, Job &J, Effects &Out);
 /// Ends the job, unless it has ended: what runs of it is stopped, and its end is saved.
-void endJob(CellState &Cell, Job &Of, JobPhase Phase, const char *Why, TimePoint Now, Effects &Out);
+void endJob(CellState &Cell, Job &J, JobPhase Phase, const char *Why, TimePoint Now, Effects &Out);
 /// Notes the end of a run in the task and the job.
 void runEnded(CellState &Cell, const RunKey &Run, RunEnd How, const std::string &Checkpoint,
-              Worker *On, TimePoint Now, Effects &Out);
+              Worker *W, TimePoint Now, Effects &Out);
 
 } // namespace valveshelf::sched
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -8,140 +8,143 @@
 namespace valveshelf::sched {
 namespace {
 // A step that could not be planned in time waits so long before the next try.
-constexpr Milliseconds PlanAgain{100};
+constexpr Milliseconds ReplanPause{100};
 
 // Tasks of a gang that a worker could take.
-struct GangSeat {
-  Worker *On = nullptr;
-  int64_t Free = 0;  ///< In the room that is free,
-  int64_t Seats = 0; ///< and when less urgent work is stopped.
+struct GangCandidate {
+  Worker *W = nullptr;
+  int64_t FreeTasks = 0; ///< In the room that is free,
+  int64_t MaxTasks = 0;  ///< and when less urgent work is stopped.
 };
 
-std::vector<GangSeat> gangSeats(PlacementPass &In, const Job &Of, const StepState &Step,
-                                bool Yields) {
-  std::vector<GangSeat> Found;
-  int64_t Most = Step.Spec->Count;
+std::vector<GangCandidate> findGangCandidates(PlacementPass &Pass, const Job &J,
+                                              const StepState &Step, bool Preempts) {
+  std::vector<GangCandidate> Found;
+  int64_t Limit = Step.Spec->Count;
   if (Step.Spec->MostPerWorker > 0)
-    Most = std::min<int64_t>(Most, Step.Spec->MostPerWorker);
+    Limit = std::min<int64_t>(Limit, Step.Spec->MostPerWorker);
   const Resources Need = needOf(Step);
   std::set<const Worker *> Avoided;
   for (const TaskState &Task : Step.Tasks)
-    if (Task.FailedOn && hasRecentlyFailedOn(In, Task, *Task.FailedOn))
+    if (Task.FailedOn && hasRecentlyFailedOn(Pass, Task, *Task.FailedOn))
       Avoided.insert(Task.FailedOn);
-  forEachAdvisedWorker(In, Of, Step, [&](Worker &On) {
-    if (!isUsable(In, On, Of, Step) || Avoided.count(&On) || !canPlan(In, Of, Step, On))
+  forEachAdvisedWorker(Pass, J, Step, [&](Worker &W) {
+    if (!isUsable(Pass, W, J, Step) || Avoided.count(&W) || !canPlan(Pass, J, Step, W))
       return;
-    const Resources Room = freeCapacityFor(In, On, Of, Step);
-    GangSeat Seat{&On, countFitting(Need, Room, Most), 0};
-    Seat.Seats = Seat.Free;
-    if (Yields)
-      Seat.Seats = countFitting(Need, Room + preemptibleResources(In, On, Of.Spec->Priority), Most);
-    if (Seat.Seats > 0)
-      Found.push_back(Seat);
+    const Resources Room = freeCapacityFor(Pass, W, J, Step);
+    GangCandidate Candidate{&W, countFitting(Need, Room, Limit), 0};
+    Candidate.MaxTasks = Candidate.FreeTasks;
+    if (Preempts)
+      Candidate.MaxTasks =
+          countFitting(Need, Room + preemptibleResources(Pass, W, J.Spec->Priority), Limit);
+    if (Candidate.MaxTasks > 0)
+      Found.push_back(Candidate);
   });
   return Found;
 }
 
-int64_t sumSeats(const std::vector<GangSeat> &Seats) {
+int64_t totalTasks(const std::vector<GangCandidate> &Candidates) {
   int64_t Sum = 0;
-  for (const GangSeat &Seat : Seats)
-    Sum += Seat.Seats;
+  for (const GangCandidate &Candidate : Candidates)
+    Sum += Candidate.MaxTasks;
   return Sum;
 }
 
 // Seats within one rack if the gang wants that and one rack is enough.
-std::vector<GangSeat> inOneRack(const StepState &Step, const std::vector<GangSeat> &Seats) {
-  std::map<std::string, std::vector<GangSeat>> Racks;
-  for (const GangSeat &Seat : Seats)
-    Racks[Seat.On->Info.Rack].push_back(Seat);
+std::vector<GangCandidate> preferOneRack(const StepState &Step,
+                                         const std::vector<GangCandidate> &Candidates) {
+  std::map<std::string, std::vector<GangCandidate>> Racks;
+  for (const GangCandidate &Candidate : Candidates)
+    Racks[Candidate.W->Info.Rack].push_back(Candidate);
   if (const auto Near = Racks.find(Step.Spec->NearRack);
-      Near != Racks.end() && sumSeats(Near->second) >= Step.Spec->Count)
+      Near != Racks.end() && totalTasks(Near->second) >= Step.Spec->Count)
     return Near->second;
   if (Step.Spec->SameRack)
-    for (auto &[Rack, Inside] : Racks)
-      if (sumSeats(Inside) >= Step.Spec->Count)
-        return Inside;
-  return Seats;
+    for (auto &[Rack, InRack] : Racks)
+      if (totalTasks(InRack) >= Step.Spec->Count)
+        return InRack;
+  return Candidates;
 }
 
-void planGang(PlacementPass &In, const Job &Of, StepState &Step, std::vector<GangSeat> Seats,
-              bool Yields) {
+void planGang(PlacementPass &Pass, const Job &J, StepState &Step,
+              std::vector<GangCandidate> Candidates, bool Preempts) {
   // Free seats first, then those that cost least: few workers with many seats each.
-  std::sort(Seats.begin(), Seats.end(), [](const GangSeat &A, const GangSeat &B) {
-    return std::pair(A.Free, A.Seats) > std::pair(B.Free, B.Seats);
-  });
-  uint32_t Run = std::max(In.Cell.FirstRun, Step.GangRun + 1);
+  std::sort(Candidates.begin(), Candidates.end(),
+            [](const GangCandidate &A, const GangCandidate &B) {
+              return std::pair(A.FreeTasks, A.MaxTasks) > std::pair(B.FreeTasks, B.MaxTasks);
+            });
+  uint32_t Run = std::max(Pass.Cell.FirstRun, Step.GangRun + 1);
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    Run = std::max(Run, nextRun(In.Cell, Step, I));
+    Run = std::max(Run, nextRun(Pass.Cell, Step, I));
   Step.GangRun = Run;
-  Step.PlannedAt = In.Now;
-  uint32_t Next = 0;
-  std::vector<Worker *> Used;
-  for (const GangSeat &Seat : Seats) {
-    for (int64_t I = 0; I < Seat.Seats && Next < Step.Tasks.size(); ++I)
-      book(In.Cell, Step, Next++, *Seat.On, Run, AttemptPhase::Planned, Of, In.Now);
-    Used.push_back(Seat.On);
-    if (Next == Step.Tasks.size())
+  Step.PlannedAt = Pass.Now;
+  uint32_t NextTask = 0;
+  std::vector<Worker *> Workers;
+  for (const GangCandidate &Candidate : Candidates) {
+    for (int64_t I = 0; I < Candidate.MaxTasks && NextTask < Step.Tasks.size(); ++I)
+      book(Pass.Cell, Step, NextTask++, *Candidate.W, Run, AttemptPhase::Planned, J, Pass.Now);
+    Workers.push_back(Candidate.W);
+    if (NextTask == Step.Tasks.size())
       break;
   }
-  if (Yields)
-    for (Worker *On : Used)
-      preemptFor(In, *On, Of.Spec->Priority);
+  if (Preempts)
+    for (Worker *W : Workers)
+      preemptFor(Pass, *W, J.Spec->Priority);
 }
 
-void dropPlan(PlacementPass &In, StepState &Step) {
+void dropPlan(PlacementPass &Pass, StepState &Step) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    if (Worker *On = Step.Tasks[I].At)
-      dropPlanned(In.Cell, *On, {{Step.Key, I}, Step.Tasks[I].Run}, In.Out);
+    if (Worker *W = Step.Tasks[I].At)
+      dropPlanned(Pass.Cell, *W, {{Step.Key, I}, Step.Tasks[I].Run}, Pass.Out);
   for (TaskState &Task : Step.Tasks)
-    Task.NotBefore = In.Now + PlanAgain;
+    Task.NotBefore = Pass.Now + ReplanPause;
 }
 
 // True if each member may be started now, which is noted of all.
-bool mayLaunchAll(PlacementPass &In, const StepState &Step) {
+bool mayLaunchAll(PlacementPass &Pass, const StepState &Step) {
   bool All = true;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    All = mayLaunch(In.Cell, {Step.Key, I}, *Step.Tasks[I].At, In.Out) && All;
+    All = mayLaunch(Pass.Cell, {Step.Key, I}, *Step.Tasks[I].At, Pass.Out) && All;
   return All;
 }
 
 // Starts a planned gang once each member has its room and its ticket.
-bool launchGang(PlacementPass &In, const Job &Of, StepState &Step) {
-  std::set<Worker *> Used;
+bool launchGang(PlacementPass &Pass, const Job &J, StepState &Step) {
+  std::set<Worker *> Workers;
   for (const TaskState &Task : Step.Tasks)
-    Used.insert(Task.At);
+    Workers.insert(Task.At);
   // Tickets that would run out while others are asked for are asked for with them; otherwise those
   // of a gang on many workers are never all valid together.
-  const Milliseconds AskTime = adviceLatency(In, Of, Step, Used.size());
+  const Milliseconds Latency = adviceLatency(Pass, J, Step, Workers.size());
   std::vector<std::string> NoTicket;
   bool HasTickets = true;
   bool HasRoom = true;
-  for (Worker *On : Used) {
-    if (!isUsable(In, *On, Of, Step)) {
-      dropPlan(In, Step);
+  for (Worker *W : Workers) {
+    if (!isUsable(Pass, *W, J, Step)) {
+      dropPlan(Pass, Step);
       return false;
     }
-    HasTickets = HasTickets && hasTicket(In, Of, Step, *On);
-    if (!hasTicket(In, Of, Step, *On, AskTime))
-      NoTicket.push_back(On->Info.Id);
+    HasTickets = HasTickets && hasTicket(Pass, J, Step, *W);
+    if (!hasTicket(Pass, J, Step, *W, Latency))
+      NoTicket.push_back(W->Info.Id);
     Resources Needed;
-    for (uint32_t I = 0; I < countTasksOn(Step, *On); ++I)
+    for (uint32_t I = 0; I < countTasksOn(Step, *W); ++I)
       Needed += needOf(Step);
-    HasRoom = HasRoom && fits(Needed, On->Info.Capacity - On->Booked);
+    HasRoom = HasRoom && fits(Needed, W->Info.Capacity - W->Booked);
   }
-  const bool Ready = HasRoom && HasTickets && mayLaunchAll(In, Step);
+  const bool Ready = HasRoom && HasTickets && mayLaunchAll(Pass, Step);
   if (!Ready) {
     Step.WaitReason = !HasRoom      ? "room is being made"
                       : !HasTickets ? "tickets are asked for"
                                     : WaitsForCrashSave;
-    requestAdvice(In, Of, Step, std::move(NoTicket));
-    if (In.Now - Step.PlannedAt > In.Cell.Limits.PlanTimeout)
-      dropPlan(In, Step);
+    requestAdvice(Pass, J, Step, std::move(NoTicket));
+    if (Pass.Now - Step.PlannedAt > Pass.Cell.Limits.PlanTimeout)
+      dropPlan(Pass, Step);
     return false;
   }
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    Worker &On = *Step.Tasks[I].At;
-    orderStart(In, Of, Step, I, On, On.Attempts.at({{Step.Key, I}, Step.GangRun}));
+    Worker &W = *Step.Tasks[I].At;
+    orderStart(Pass, J, Step, I, W, W.Attempts.at({{Step.Key, I}, Step.GangRun}));
   }
   Step.WaitReason.clear();
   return true;
@@ -156,44 +159,44 @@
 }
 
 // Members whose room is only held go when others of the plan have lost theirs with their worker.
-void dropPartialPlan(PlacementPass &In, StepState &Step) {
+void dropPartialPlan(PlacementPass &Pass, StepState &Step) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    Worker *On = Step.Tasks[I].At;
+    Worker *W = Step.Tasks[I].At;
     const RunKey Run{{Step.Key, I}, Step.Tasks[I].Run};
-    if (On && On->Attempts.at(Run).Phase == AttemptPhase::Planned)
-      dropPlanned(In.Cell, *On, Run, In.Out);
+    if (W && W->Attempts.at(Run).Phase == AttemptPhase::Planned)
+      dropPlanned(Pass.Cell, *W, Run, Pass.Out);
   }
 }
 } // namespace
 
-bool placeGang(PlacementPass &In, const Job &Of, StepState &Step) {
+bool placeGang(PlacementPass &Pass, const Job &J, StepState &Step) {
   if (isPlanned(Step))
-    return launchGang(In, Of, Step);
+    return launchGang(Pass, J, Step);
   if (Step.BookedTasks > 0)
-    dropPartialPlan(In, Step);
+    dropPartialPlan(Pass, Step);
   uint32_t Placeable = 0;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    Placeable += isPlaceable(In, Of, Step, I) ? 1 : 0;
+    Placeable += isPlaceable(Pass, J, Step, I) ? 1 : 0;
   if (Step.BookedTasks > 0 || Placeable < Step.Tasks.size())
     return false;
-  if (!isWithinQuota(In.Cell, Of.Owner, minCharge(*Step.Spec))) {
+  if (!isWithinQuota(Pass.Cell, J.Owner, minCharge(*Step.Spec))) {
     Step.WaitReason = WaitsForQuota;
     return false;
   }
-  bool Yields = false;
-  std::vector<GangSeat> Seats = gangSeats(In, Of, Step, false);
-  if (sumSeats(Seats) < Step.Spec->Count && !Step.Queued->Late &&
-      benefitsFromPreemption(In, Of, Step)) {
-    Yields = true;
-    Seats = gangSeats(In, Of, Step, true);
+  bool Preempts = false;
+  std::vector<GangCandidate> Candidates = findGangCandidates(Pass, J, Step, false);
+  if (totalTasks(Candidates) < Step.Spec->Count && !Step.Queued->Late &&
+      benefitsFromPreemption(Pass, J, Step)) {
+    Preempts = true;
+    Candidates = findGangCandidates(Pass, J, Step, true);
   }
-  if (sumSeats(Seats) < Step.Spec->Count) {
+  if (totalTasks(Candidates) < Step.Spec->Count) {
     Step.WaitReason = "the advised workers have no room for the whole gang";
-    widenSearch(In, Of, Step);
+    widenSearch(Pass, J, Step);
     return false;
   }
-  planGang(In, Of, Step, inOneRack(Step, Seats), Yields);
-  launchGang(In, Of, Step);
+  planGang(Pass, J, Step, preferOneRack(Step, Candidates), Preempts);
+  launchGang(Pass, J, Step);
   return true;
 }
 
--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -8,22 +8,23 @@
 namespace {
 
 // The longest chain of declared work through the steps.
-Milliseconds longestChain(const JobSpec &Spec) {
-  std::vector<Milliseconds> Through(Spec.Steps.size());
-  Milliseconds Longest{0};
+Milliseconds criticalPathLength(const JobSpec &Spec) {
+  std::vector<Milliseconds> FinishTimes(Spec.Steps.size());
+  Milliseconds CriticalPath{0};
   for (size_t I = 0; I < Spec.Steps.size(); ++I) {
-    Milliseconds Before{0};
+    Milliseconds LatestInput{0};
     for (const uint32_t Earlier : Spec.Steps[I].After)
-      Before = std::max(Before, Through[Earlier]);
-    Through[I] = Before + Spec.Steps[I].Estimate;
-    Longest = std::max(Longest, Through[I]);
+      LatestInput = std::max(LatestInput, FinishTimes[Earlier]);
+    FinishTimes[I] = LatestInput + Spec.Steps[I].Estimate;
+    CriticalPath = std::max(CriticalPath, FinishTimes[I]);
   }
-  return Longest;
+  return CriticalPath;
 }
 
 // By then the job, or a round that is due at \p Due, has to be complete.
 TimePoint objectiveOf(const CellState &Cell, const JobSpec &Spec, WallTime Due) {
-  const auto Chain = std::chrono::duration_cast<Milliseconds>(longestChain(Spec) * Spec.Extension);
+  const auto Chain =
+      std::chrono::duration_cast<Milliseconds>(criticalPathLength(Spec) * Spec.Extension);
   return Cell.WallAt + (Due - Cell.Wall) + Chain + Spec.Target;
 }
 
@@ -32,66 +33,66 @@
                      [&](uint32_t Earlier) { return Round.Steps[Earlier].OpenTasks == 0; });
 }
 
-RoundState &makeRound(CellState &Cell, Job &Of, uint32_t Number, TimePoint Now) {
-  RoundState &Round = Of.Rounds[Number];
+RoundState &makeRound(CellState &Cell, Job &J, uint32_t Number, TimePoint Now) {
+  RoundState &Round = J.Rounds[Number];
   Round.Number = Number;
-  const auto &Specs = Of.Spec->Steps;
+  const auto &Specs = J.Spec->Steps;
   Round.Steps.resize(Specs.size());
   for (uint32_t I = 0; I < Specs.size(); ++I) {
     StepState &Step = Round.Steps[I];
-    Step.Key = {Of.Spec->Id, Number, I};
+    Step.Key = {J.Spec->Id, Number, I};
     Step.Spec = &Specs[I];
     Step.Tasks.resize(Specs[I].Count);
     Step.OpenTasks = Specs[I].Count;
   }
   for (StepState &Step : Round.Steps)
-    queueStep(Cell, Of, Step, Now);
+    queueStep(Cell, J, Step, Now);
   return Round;
 }
 
 // The members of a gang end together; those that are not listed as ended yet need no order.
 void expectEnds(StepState &Step, uint32_t Run, TimePoint Now) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    if (Attempt *What = attemptOf(Step, I); What && Step.Tasks[I].Run == Run)
-      What->EndExpectedSince = Now;
+    if (Attempt *A = attemptOf(Step, I); A && Step.Tasks[I].Run == Run)
+      A->EndExpectedSince = Now;
 }
 
-void stopAll(CellState &Cell, Job &Of, const char *Why, TimePoint Now, Effects &Out) {
-  for (auto &[Number, Round] : Of.Rounds)
+void stopAll(CellState &Cell, Job &J, const char *Why, TimePoint Now, Effects &Out) {
+  for (auto &[Number, Round] : J.Rounds)
     for (StepState &Step : Round.Steps) {
       if (Step.Queued)
         Cell.Queue.erase(*Step.Queued);
       Step.Queued.reset();
       for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-        const Attempt *What = attemptOf(Step, I);
-        if (What && What->EndExpectedSince == TimePoint{})
+        const Attempt *A = attemptOf(Step, I);
+        if (A && A->EndExpectedSince == TimePoint{})
           stopAttempt(Cell, *Step.Tasks[I].At, {{Step.Key, I}, Step.Tasks[I].Run}, Why, Now, Out);
       }
     }
 }
 
 // Stops what other runs of a task that is done may still be there.
-void stopLeftOver(CellState &Cell, StepState &Step, const RunKey &Ended, TimePoint Now,
-                  Effects &Out) {
+void stopSupersededRun(CellState &Cell, StepState &Step, const RunKey &Ended, TimePoint Now,
+                       Effects &Out) {
   const TaskState &Task = Step.Tasks[Ended.Task.Index];
   if (Task.At && Task.Run != Ended.Run)
     stopAttempt(Cell, *Task.At, {Ended.Task, Task.Run}, "an earlier run is done", Now, Out);
 }
 
-void stepDone(CellState &Cell, Job &Of, RoundState &Round, TimePoint Now, Effects &Out) {
+void stepDone(CellState &Cell, Job &J, RoundState &Round, TimePoint Now, Effects &Out) {
   for (StepState &Next : Round.Steps)
-    queueStep(Cell, Of, Next, Now);
+    queueStep(Cell, J, Next, Now);
   const bool AllDone = std::all_of(Round.Steps.begin(), Round.Steps.end(),
                                    [](const StepState &Step) { return Step.OpenTasks == 0; });
   if (!AllDone || Round.Done)
     return;
   Round.Done = true;
-  ++Of.RoundsDone;
-  if (Of.RoundsDone >= std::max<uint32_t>(Of.Spec->Repetitions, 1))
-    endJob(Cell, Of, JobPhase::Completed, "the job is complete", Now, Out);
+  ++J.RoundsDone;
+  if (J.RoundsDone >= std::max<uint32_t>(J.Spec->Repetitions, 1))
+    endJob(Cell, J, JobPhase::Completed, "the job is complete", Now, Out);
 }
 
-void taskDone(CellState &Cell, Job &Of, StepState &Step, const RunKey &Run, TimePoint Now,
+void taskDone(CellState &Cell, Job &J, StepState &Step, const RunKey &Run, TimePoint Now,
               Effects &Out) {
   const bool WasOpen = Step.OpenTasks > 0;
   if (Step.Spec->Gang) {
@@ -103,24 +104,24 @@
     Step.Tasks[Run.Task.Index].Done = true;
     --Step.OpenTasks;
   }
-  stopLeftOver(Cell, Step, Run, Now, Out);
-  requestSave(Cell, Of, Out);
+  stopSupersededRun(Cell, Step, Run, Now, Out);
+  requestSave(Cell, J, Out);
   if (WasOpen && Step.OpenTasks == 0)
-    stepDone(Cell, Of, Of.Rounds.at(Run.Task.Step.Round), Now, Out);
+    stepDone(Cell, J, J.Rounds.at(Run.Task.Step.Round), Now, Out);
 }
 
-void taskFailed(CellState &Cell, Job &Of, StepState &Step, const RunKey &Run, Worker *On,
+void taskFailed(CellState &Cell, Job &J, StepState &Step, const RunKey &Run, Worker *W,
                 TimePoint Now, Effects &Out) {
   TaskState &Task = Step.Tasks[Run.Task.Index];
   std::set<uint32_t> &Failures = Step.Spec->Gang ? Step.GangFailures : Task.FailedRuns;
   Failures.insert(Run.Run);
-  Task.FailedOn = On;
+  Task.FailedOn = W;
   Task.FailedAt = Now;
   Out.Failures.push_back(
-      {Run, On ? On->Info.Id : std::string(), Failures.size(), Of.Spec->MaxAttempts});
-  requestSave(Cell, Of, Out);
-  if (!Step.Spec->Lasting && Failures.size() >= static_cast<size_t>(Of.Spec->MaxAttempts))
-    endJob(Cell, Of, JobPhase::Failed, "a task failed as often as allowed", Now, Out);
+      {Run, W ? W->Info.Id : std::string(), Failures.size(), J.Spec->MaxAttempts});
+  requestSave(Cell, J, Out);
+  if (!Step.Spec->Lasting && Failures.size() >= static_cast<size_t>(J.Spec->MaxAttempts))
+    endJob(Cell, J, JobPhase::Failed, "a task failed as often as allowed", Now, Out);
 }
 
 void keepCheckpoint(StepState &Step, uint32_t Index, const std::string &Checkpoint) {
@@ -129,13 +130,12 @@
 }
 } // namespace
 
-void endJob(CellState &Cell, Job &Of, JobPhase Phase, const char *Why, TimePoint Now,
-            Effects &Out) {
-  if (Of.Phase != JobPhase::Live)
+void endJob(CellState &Cell, Job &J, JobPhase Phase, const char *Why, TimePoint Now, Effects &Out) {
+  if (J.Phase != JobPhase::Live)
     return;
-  Of.Phase = Phase;
-  stopAll(Cell, Of, Why, Now, Out);
-  requestSave(Cell, Of, Out);
+  J.Phase = Phase;
+  stopAll(Cell, J, Why, Now, Out);
+  requestSave(Cell, J, Out);
 }
 
 Attempt *attemptOf(const StepState &Step, uint32_t Index) {
@@ -147,31 +147,31 @@
 }
 
 StepState *findStep(CellState &Cell, const StepKey &Key) {
-  const auto Of = Cell.Jobs.find(Key.Job);
-  if (Of == Cell.Jobs.end())
+  const auto Found = Cell.Jobs.find(Key.Job);
+  if (Found == Cell.Jobs.end())
     return nullptr;
-  const auto Round = Of->second.Rounds.find(Key.Round);
-  if (Round == Of->second.Rounds.end() || Key.Step >= Round->second.Steps.size())
+  const auto Round = Found->second.Rounds.find(Key.Round);
+  if (Round == Found->second.Rounds.end() || Key.Step >= Round->second.Steps.size())
     return nullptr;
   return &Round->second.Steps[Key.Step];
 }
 
-bool isLate(const Job &Of, const StepState &Step, TimePoint Now) {
-  return !Step.Spec->Lasting && Now + Step.Spec->Estimate / 2 > Of.Objective;
+bool isLate(const Job &J, const StepState &Step, TimePoint Now) {
+  return !Step.Spec->Lasting && Now + Step.Spec->Estimate / 2 > J.Objective;
 }
 
-void queueStep(CellState &Cell, Job &Of, StepState &Step, TimePoint Now) {
+void queueStep(CellState &Cell, Job &J, StepState &Step, TimePoint Now) {
   if (Step.Queued)
     Cell.Queue.erase(*Step.Queued);
   Step.Queued.reset();
-  const RoundState &Round = Of.Rounds.at(Step.Key.Round);
-  if (Of.Phase != JobPhase::Live || Step.OpenTasks == 0 || !isRunnable(Round, Step))
+  const RoundState &Round = J.Rounds.at(Step.Key.Round);
+  if (J.Phase != JobPhase::Live || Step.OpenTasks == 0 || !isRunnable(Round, Step))
     return;
   if (Step.RunnableSince == TimePoint{})
     Step.RunnableSince = Now;
   // A step whose work would end after the objective earns little; it goes behind the others.
   Step.Queued =
-      QueueKey{Of.IsOverShare, isLate(Of, Step, Now), Of.Spec->Priority, Of.Objective, Step.Key};
+      QueueKey{J.IsOverShare, isLate(J, Step, Now), J.Spec->Priority, J.Objective, Step.Key};
   Cell.Queue.insert(*Step.Queued);
 }
 
@@ -179,16 +179,16 @@
   const JobId Id = Spec->Id;
   if (Cell.Jobs.count(Id) || Cell.EndedJobs.count(Id))
     return;
-  Job &Of = Cell.Jobs[Id];
-  Of.Spec = Spec;
-  Of.Owner = findOrAddOrganisation(Cell, Spec->Organisation);
-  if (Of.Owner && Fresh)
-    Of.IsOverShare = !consumeShare(*Of.Owner, Spec->AcceptedAt);
-  Of.Revision = Revision;
-  Of.Objective = objectiveOf(Cell, *Spec, Spec->Repetitions ? Spec->FirstDue : Spec->AcceptedAt);
+  Job &J = Cell.Jobs[Id];
+  J.Spec = Spec;
+  J.Owner = findOrAddOrganisation(Cell, Spec->Organisation);
+  if (J.Owner && Fresh)
+    J.IsOverShare = !consumeShare(*J.Owner, Spec->AcceptedAt);
+  J.Revision = Revision;
+  J.Objective = objectiveOf(Cell, *Spec, Spec->Repetitions ? Spec->FirstDue : Spec->AcceptedAt);
   if (Spec->Repetitions > 0)
     return; // its rounds are made when they are due
-  RoundState &Round = makeRound(Cell, Of, 0, Now);
+  RoundState &Round = makeRound(Cell, J, 0, Now);
   for (StepState &Step : Round.Steps)
     for (TaskState &Task : Step.Tasks)
       (Fresh ? Task.MayRunMeanwhile : Task.MayRunElsewhere) =
@@ -199,10 +199,10 @@
   const auto Found = Cell.Jobs.find(Key.Job);
   if (Found == Cell.Jobs.end())
     return;
-  Job &Of = Found->second;
-  Of.Begun = true;
-  if (!Of.Rounds.count(Key.Round)) {
-    RoundState &Round = makeRound(Cell, Of, Key.Round, Cell.WallAt);
+  Job &J = Found->second;
+  J.Begun = true;
+  if (!J.Rounds.count(Key.Round)) {
+    RoundState &Round = makeRound(Cell, J, Key.Round, Cell.WallAt);
     for (StepState &Step : Round.Steps)
       for (TaskState &Task : Step.Tasks)
         Task.MayRunElsewhere = true;
@@ -237,32 +237,32 @@
 }
 
 // What lies within its organisation's share, in the order in which it was handed in.
-static void shareOut(CellState &Cell) {
+static void assignShares(CellState &Cell) {
   std::vector<Job *> ByTime;
-  for (auto &[Id, Of] : Cell.Jobs)
-    if (Of.Owner)
-      ByTime.push_back(&Of);
+  for (auto &[Id, J] : Cell.Jobs)
+    if (J.Owner)
+      ByTime.push_back(&J);
   std::sort(ByTime.begin(), ByTime.end(), [](const Job *A, const Job *B) {
     return std::pair(A->Spec->AcceptedAt, A->Spec->Id) <
            std::pair(B->Spec->AcceptedAt, B->Spec->Id);
   });
-  for (Job *Of : ByTime)
-    Of->IsOverShare = !consumeShare(*Of->Owner, Of->Spec->AcceptedAt);
+  for (Job *J : ByTime)
+    J->IsOverShare = !consumeShare(*J->Owner, J->Spec->AcceptedAt);
 }
 
 void finishLoading(CellState &Cell, TimePoint Now, Effects &Out) {
   Cell.Loaded = true;
-  shareOut(Cell);
-  for (auto &[Id, Of] : Cell.Jobs) {
-    for (auto &[Number, Round] : Of.Rounds) {
+  assignShares(Cell);
+  for (auto &[Id, J] : Cell.Jobs) {
+    for (auto &[Number, Round] : J.Rounds) {
       Round.Done = std::all_of(Round.Steps.begin(), Round.Steps.end(),
                                [](const StepState &Step) { return Step.OpenTasks == 0; });
-      Of.RoundsDone += Round.Done ? 1 : 0;
+      J.RoundsDone += Round.Done ? 1 : 0;
       for (StepState &Step : Round.Steps)
-        queueStep(Cell, Of, Step, Now);
+        queueStep(Cell, J, Step, Now);
     }
-    if (Of.Phase == JobPhase::Live && Of.RoundsDone >= std::max<uint32_t>(Of.Spec->Repetitions, 1))
-      endJob(Cell, Of, JobPhase::Completed, "the job is complete", Now, Out);
+    if (J.Phase == JobPhase::Live && J.RoundsDone >= std::max<uint32_t>(J.Spec->Repetitions, 1))
+      endJob(Cell, J, JobPhase::Completed, "the job is complete", Now, Out);
   }
   giveUpInherited(Cell, Now, Out);
 }
@@ -283,9 +283,9 @@
     cancelJob(Cell, Id, Now, Out);
 }
 
-void requestSave(CellState &Cell, Job &Of, Effects &Out) {
-  Of.PendingSave = ++Cell.LastSave;
-  Cell.PendingSaves.emplace(Of.PendingSave, Of.Spec->Id);
+void requestSave(CellState &Cell, Job &J, Effects &Out) {
+  J.PendingSave = ++Cell.LastSave;
+  Cell.PendingSaves.emplace(J.PendingSave, J.Spec->Id);
   Out.SaveRequested = true;
 }
 
@@ -294,34 +294,34 @@
 std::vector<std::string> releaseEnds(CellState &Cell) {
   std::vector<std::string> Clear;
   std::erase_if(Cell.SlotsWithUnsavedEnds, [&](uint32_t Slot) {
-    Worker *On = Cell.Slots[Slot];
-    if (!On)
+    Worker *W = Cell.Slots[Slot];
+    if (!W)
       return true;
-    while (!On->Unsaved.empty() && !Cell.PendingSaves.count(On->Unsaved.front().second)) {
-      On->ForgetThrough = On->Unsaved.front().first;
-      On->Unsaved.pop_front();
+    while (!W->Unsaved.empty() && !Cell.PendingSaves.count(W->Unsaved.front().second)) {
+      W->ForgetThrough = W->Unsaved.front().first;
+      W->Unsaved.pop_front();
     }
-    if (On->Unsaved.empty())
-      Clear.push_back(On->Info.Id);
-    return On->Unsaved.empty();
+    if (W->Unsaved.empty())
+      Clear.push_back(W->Info.Id);
+    return W->Unsaved.empty();
   });
   return Clear;
 }
 
 // The job and its progress are as the store has them.
-void noteSaved(CellState &Cell, Job &Of, uint64_t Number, uint64_t Revision,
+void noteSaved(CellState &Cell, Job &J, uint64_t Number, uint64_t Revision,
                uint64_t ProgressRevision, WallTime Now) {
-  Of.Revision = Revision;
-  Of.ProgressRevision = ProgressRevision;
-  if (Of.PendingSave > Number)
+  J.Revision = Revision;
+  J.ProgressRevision = ProgressRevision;
+  if (J.PendingSave > Number)
     return;
-  Of.PendingSave = 0;
-  if (Of.Phase == JobPhase::Live)
+  J.PendingSave = 0;
+  if (J.Phase == JobPhase::Live)
     return;
-  const JobId Id = Of.Spec->Id;
-  Cell.EndedJobs[Id] = {Of.Phase, Revision, Now, Of.Spec->Organisation};
+  const JobId Id = J.Spec->Id;
+  Cell.EndedJobs[Id] = {J.Phase, Revision, Now, J.Spec->Organisation};
   Cell.EndedByAge.emplace_back(Now, Id);
-  dropDoubts(Cell, Of);
+  dropDoubts(Cell, J);
   Cell.Jobs.erase(Id);
 }
 } // namespace
@@ -363,50 +363,50 @@
 uint32_t waitingJobs(const CellState &Cell, const std::string &Queue) {
   return static_cast<uint32_t>(
       std::count_if(Cell.Jobs.begin(), Cell.Jobs.end(), [&](const auto &Entry) {
-        const Job &Of = Entry.second;
-        return Of.Spec->Queue == Queue && !Of.Begun && Of.Phase == JobPhase::Live;
+        const Job &J = Entry.second;
+        return J.Spec->Queue == Queue && !J.Begun && J.Phase == JobPhase::Live;
       }));
 }
 
 void runEnded(CellState &Cell, const RunKey &Run, RunEnd How, const std::string &Checkpoint,
-              Worker *On, TimePoint Now, Effects &Out) {
+              Worker *W, TimePoint Now, Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (!Step || Run.Task.Index >= Step->Tasks.size())
     return;
-  Job &Of = Cell.Jobs.at(Run.Task.Step.Job);
-  Of.Begun = true;
-  if (Of.Phase != JobPhase::Live)
+  Job &J = Cell.Jobs.at(Run.Task.Step.Job);
+  J.Begun = true;
+  if (J.Phase != JobPhase::Live)
     return;
   if (How == RunEnd::Done)
-    return taskDone(Cell, Of, *Step, Run, Now, Out);
+    return taskDone(Cell, J, *Step, Run, Now, Out);
   if (Step->Tasks[Run.Task.Index].Done)
     return;
   keepCheckpoint(*Step, Run.Task.Index, Checkpoint);
   if (How == RunEnd::Failed)
-    taskFailed(Cell, Of, *Step, Run, On, Now, Out);
+    taskFailed(Cell, J, *Step, Run, W, Now, Out);
   else if (!Checkpoint.empty())
-    requestSave(Cell, Of, Out); // a successor goes on from the checkpoint
-  queueStep(Cell, Of, *Step, Now);
+    requestSave(Cell, J, Out); // a successor goes on from the checkpoint
+  queueStep(Cell, J, *Step, Now);
 }
 
 // Makes the rounds that are due.
-static void startDueRounds(CellState &Cell, Job &Of, TimePoint Now) {
-  const JobSpec &Spec = *Of.Spec;
-  while (Of.Phase == JobPhase::Live && Of.NextRound < Spec.Repetitions) {
-    const WallTime Due = Spec.FirstDue + Spec.Interval * Of.NextRound;
+static void startDueRounds(CellState &Cell, Job &J, TimePoint Now) {
+  const JobSpec &Spec = *J.Spec;
+  while (J.Phase == JobPhase::Live && J.NextRound < Spec.Repetitions) {
+    const WallTime Due = Spec.FirstDue + Spec.Interval * J.NextRound;
     if (Cell.Wall < Due)
       return;
-    Of.Objective = objectiveOf(Cell, Spec, Due);
-    if (!Of.Rounds.count(Of.NextRound))
-      makeRound(Cell, Of, Of.NextRound, Now);
-    ++Of.NextRound;
+    J.Objective = objectiveOf(Cell, Spec, Due);
+    if (!J.Rounds.count(J.NextRound))
+      makeRound(Cell, J, J.NextRound, Now);
+    ++J.NextRound;
   }
 }
 
 void tickJobs(CellState &Cell, TimePoint Now) {
-  for (auto &[Id, Of] : Cell.Jobs)
-    if (Of.Spec->Repetitions > 0)
-      startDueRounds(Cell, Of, Now);
+  for (auto &[Id, J] : Cell.Jobs)
+    if (J.Spec->Repetitions > 0)
+      startDueRounds(Cell, J, Now);
 }
 
 } // namespace valveshelf::sched
--- a/src/scheduler/organisations.cpp
+++ b/src/scheduler/organisations.cpp
@@ -7,15 +7,15 @@
 void applyConfiguration(CellState &Cell, const CellConfiguration &Config) {
   Cell.HasConfiguration = true;
   Cell.Services.clear();
-  for (const Service &One : Config.Services)
-    Cell.Services.insert(One.Name);
+  for (const Service &Service : Config.Services)
+    Cell.Services.insert(Service.Name);
   if (!Config.Organisations)
     return;
-  for (const Organisation &One : *Config.Organisations) {
-    OrganisationState &Known = Cell.Organisations[One.Name];
-    Known.Name = One.Name;
-    Known.Maximum = One.Maximum;
-    Known.Weight = One.Weight;
+  for (const Organisation &Listed : *Config.Organisations) {
+    OrganisationState &Known = Cell.Organisations[Listed.Name];
+    Known.Name = Listed.Name;
+    Known.Maximum = Listed.Maximum;
+    Known.Weight = Listed.Weight;
   }
 }
 
@@ -30,45 +30,45 @@
 // A job beyond its organisation's share goes behind all that is within one, stops nothing and may
 // be stopped for others. An organisation that hands in more than the cell can do makes no other one
 // late.
-bool consumeShare(OrganisationState &Of, WallTime At) {
-  if (Of.Weight <= 0)
+bool consumeShare(OrganisationState &Org, WallTime At) {
+  if (Org.Weight <= 0)
     return true;
-  const double Most = std::max(Of.Weight, 1.0);
-  if (!Of.ShareTokensAt)
-    Of.ShareTokens = Most;
-  else if (At > *Of.ShareTokensAt)
-    Of.ShareTokens += Of.Weight * std::chrono::duration<double>(At - *Of.ShareTokensAt).count();
-  Of.ShareTokensAt = std::max(Of.ShareTokensAt.value_or(At), At);
-  Of.ShareTokens = std::min(Of.ShareTokens, Most);
-  if (Of.ShareTokens < 1)
+  const double Limit = std::max(Org.Weight, 1.0);
+  if (!Org.ShareTokensAt)
+    Org.ShareTokens = Limit;
+  else if (At > *Org.ShareTokensAt)
+    Org.ShareTokens += Org.Weight * std::chrono::duration<double>(At - *Org.ShareTokensAt).count();
+  Org.ShareTokensAt = std::max(Org.ShareTokensAt.value_or(At), At);
+  Org.ShareTokens = std::min(Org.ShareTokens, Limit);
+  if (Org.ShareTokens < 1)
     return false;
-  Of.ShareTokens -= 1;
+  Org.ShareTokens -= 1;
   return true;
 }
 
-bool isWithinQuota(const CellState &Cell, const OrganisationState *Of, const Resources &More) {
-  return !Of ||
-         (Cell.HasConfiguration && isWithin(Of->Usage + Of->UnreportedUsage + More, Of->Maximum));
+bool isWithinQuota(const CellState &Cell, const OrganisationState *Org, const Resources &More) {
+  return !Org || (Cell.HasConfiguration &&
+                  isWithin(Org->Usage + Org->UnreportedUsage + More, Org->Maximum));
 }
 
 Resources minCharge(const StepSpec &Step) { return Step.Gang ? Step.Need * Step.Count : Step.Need; }
 
 namespace {
 // The tasks of the step that may run where this scheduler has not heard of them.
-uint32_t unheardTasks(const PlacementPass &In, const Job &Of, const StepState &Step) {
-  const std::string &Service = Of.Spec->Service;
-  const bool Awaited = In.UnreportedServices.count(Service) > 0;
-  const bool Asked = In.ReportPendingServices.count(Service) > 0;
+uint32_t countUnreportedTasks(const PlacementPass &Pass, const Job &J, const StepState &Step) {
+  const std::string &Service = J.Spec->Service;
+  const bool HasUnreported = Pass.UnreportedServices.count(Service) > 0;
+  const bool HasPendingReport = Pass.ReportPendingServices.count(Service) > 0;
   uint32_t Count = 0;
   for (const TaskState &Task : Step.Tasks)
     if (!Task.Done && !Task.At &&
-        ((Task.MayRunElsewhere && Awaited) || (Task.MayRunMeanwhile && Asked)))
+        ((Task.MayRunElsewhere && HasUnreported) || (Task.MayRunMeanwhile && HasPendingReport)))
       ++Count;
   return Count;
 }
 
 // The most that all unheard workers can hold together; empty if the size of one is not known.
-std::optional<Resources> unheardRoom(const CellState &Cell) {
+std::optional<Resources> unreportedCapacity(const CellState &Cell) {
   Resources Sum;
   for (const auto &[Id, Service] : Cell.UnreportedWorkers) {
     const auto Found = Cell.Workers.find(Id);
@@ -86,20 +86,20 @@
 // that no worker has reported, though no more than the workers that are still unheard can hold.
 // With the first bound alone an organisation with a backlog stood still until the last worker was
 // heard, up to the length of a lease.
-void chargeUnreported(PlacementPass &In) {
-  for (auto &[Name, Of] : In.Cell.Organisations)
-    Of.UnreportedUsage = {};
-  if (In.Cell.UnreportedWorkers.empty())
+void chargeUnreported(PlacementPass &Pass) {
+  for (auto &[Name, Org] : Pass.Cell.Organisations)
+    Org.UnreportedUsage = {};
+  if (Pass.Cell.UnreportedWorkers.empty())
     return;
-  for (auto &[Id, Of] : In.Cell.Jobs)
-    for (auto &[Number, Round] : Of.Rounds)
+  for (auto &[Id, J] : Pass.Cell.Jobs)
+    for (auto &[Number, Round] : J.Rounds)
       for (const StepState &Step : Round.Steps)
-        if (Of.Owner && Step.OpenTasks > 0)
-          Of.Owner->UnreportedUsage += Step.Spec->Need * unheardTasks(In, Of, Step);
-  const std::optional<Resources> Most = unheardRoom(In.Cell);
-  for (auto &[Name, Of] : In.Cell.Organisations)
-    if (Most)
-      Of.UnreportedUsage = componentMin(Of.UnreportedUsage, *Most);
+        if (J.Owner && Step.OpenTasks > 0)
+          J.Owner->UnreportedUsage += Step.Spec->Need * countUnreportedTasks(Pass, J, Step);
+  const std::optional<Resources> Limit = unreportedCapacity(Pass.Cell);
+  for (auto &[Name, Org] : Pass.Cell.Organisations)
+    if (Limit)
+      Org.UnreportedUsage = componentMin(Org.UnreportedUsage, *Limit);
 }
 
 } // namespace valveshelf::sched
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -10,25 +10,25 @@
 namespace {
 // After so many steps of one priority in a row that found no place, the pass leaves the rest of
 // that priority for the next one; keeps a pass short when much waits.
-constexpr int MaxMissesInARow = 40;
+constexpr int MaxConsecutiveMisses = 40;
 // Steps that can wait are looked at this often while one of them finds no place, gangs every second
 // time; their work takes seconds. All are looked at in the same passes, so that room which has come
 // free meanwhile goes by the order of the queue and not to whichever is looked at next.
-constexpr Milliseconds LookEvery{40};
+constexpr Milliseconds FullScanInterval{40};
 // Weight of the newest urgent task in their usual size.
-constexpr int64_t UrgentMemory = 64;
+constexpr int64_t UrgentMeanWeight = 64;
 
 PlacementPass beginPass(CellState &Cell, TimePoint Now, Effects &Out) {
-  PlacementPass In{Cell, Now, Out, {}, {}, false, {}};
+  PlacementPass Pass{Cell, Now, Out, {}, {}, false, {}};
   for (const auto &[Id, Service] : Cell.UnreportedWorkers) {
-    In.UnreportedServices.insert(Service);
+    Pass.UnreportedServices.insert(Service);
     const auto Found = Cell.Workers.find(Id);
     if (Found != Cell.Workers.end() && Found->second.Answers && !Found->second.Heard)
-      In.ReportPendingServices.insert(Service);
+      Pass.ReportPendingServices.insert(Service);
   }
-  In.KeepsUrgentReserve = isUrgentCapacityScarce(Cell);
-  chargeUnreported(In);
-  return In;
+  Pass.KeepsUrgentReserve = isUrgentCapacityScarce(Cell);
+  chargeUnreported(Pass);
+  return Pass;
 }
 
 const std::string &checkpointOf(const StepState &Step, uint32_t Index) {
@@ -36,27 +36,27 @@
 }
 } // namespace
 
-void orderStart(PlacementPass &In, const Job &Of, StepState &Step, uint32_t Index, Worker &On,
-                Attempt &What) {
+void orderStart(PlacementPass &Pass, const Job &J, StepState &Step, uint32_t Index, Worker &W,
+                Attempt &A) {
   const RunKey Run{{Step.Key, Index}, Step.Tasks[Index].Run};
-  setPhase(In.Cell, On, Run, AttemptPhase::Starting, In.Now);
-  What.Sends = 1;
-  const AdviceState::Permit *Known = findPermit(Step, On);
-  In.Out.Starts.push_back(
-      {On.Info.Id, Run, Of.Spec, checkpointOf(Step, Index), Known ? Known->Ticket : std::string()});
+  setPhase(Pass.Cell, W, Run, AttemptPhase::Starting, Pass.Now);
+  A.Sends = 1;
+  const AdviceState::Permit *Permit = findPermit(Step, W);
+  Pass.Out.Starts.push_back(
+      {W.Info.Id, Run, J.Spec, checkpointOf(Step, Index), Permit ? Permit->Ticket : std::string()});
 }
 
 namespace {
 // Notes for the log what was ordered for the step since \p Before starts.
-void notePlaced(PlacementPass &In, const Job &Of, StepState &Step, size_t Before) {
-  if (In.Out.Starts.size() == Before)
+void notePlaced(PlacementPass &Pass, const Job &J, StepState &Step, size_t Before) {
+  if (Pass.Out.Starts.size() == Before)
     return;
   std::set<std::string> Workers;
-  for (size_t I = Before; I < In.Out.Starts.size(); ++I)
-    Workers.insert(In.Out.Starts[I].Worker);
-  In.Out.Placements.push_back({Step.Key, static_cast<uint32_t>(In.Out.Starts.size() - Before),
-                               static_cast<uint32_t>(Workers.size()), Step.RunnableSince,
-                               Of.Objective, !Step.HasStartOrders});
+  for (size_t I = Before; I < Pass.Out.Starts.size(); ++I)
+    Workers.insert(Pass.Out.Starts[I].Worker);
+  Pass.Out.Placements.push_back({Step.Key, static_cast<uint32_t>(Pass.Out.Starts.size() - Before),
+                                 static_cast<uint32_t>(Workers.size()), Step.RunnableSince,
+                                 J.Objective, !Step.HasStartOrders});
   Step.HasStartOrders = true;
 }
 } // namespace
@@ -67,87 +67,87 @@
 
 // A scheduler that was replaced may have started a job that this one hears of only later; its runs
 // are being stopped by then.
-static bool hasStray(const CellState &Cell, const TaskKey &Task) {
+static bool hasOrphanedRun(const CellState &Cell, const TaskKey &Task) {
   const auto At = Cell.OrphanedRuns.lower_bound({Task, 0});
   return At != Cell.OrphanedRuns.end() && At->Task == Task;
 }
 
-bool isPlaceable(const PlacementPass &In, const Job &Of, const StepState &Step, uint32_t Index) {
+bool isPlaceable(const PlacementPass &Pass, const Job &J, const StepState &Step, uint32_t Index) {
   const TaskState &Task = Step.Tasks[Index];
-  const std::string &Service = Of.Spec->Service;
-  const bool MayRun = (Task.MayRunElsewhere && In.UnreportedServices.count(Service) > 0) ||
-                      (Task.MayRunMeanwhile && In.ReportPendingServices.count(Service) > 0);
-  return !Task.Done && !Task.At && !MayRun && Task.NotBefore <= In.Now &&
-         !waitsForCrashSave(In.Cell, Task) && !hasStray(In.Cell, {Step.Key, Index});
+  const std::string &Service = J.Spec->Service;
+  const bool MayRun = (Task.MayRunElsewhere && Pass.UnreportedServices.count(Service) > 0) ||
+                      (Task.MayRunMeanwhile && Pass.ReportPendingServices.count(Service) > 0);
+  return !Task.Done && !Task.At && !MayRun && Task.NotBefore <= Pass.Now &&
+         !waitsForCrashSave(Pass.Cell, Task) && !hasOrphanedRun(Pass.Cell, {Step.Key, Index});
 }
 
 namespace {
 // Starts what is planned and has its room and its ticket.
-void launchSingles(PlacementPass &In, const Job &Of, StepState &Step) {
+void launchSingles(PlacementPass &Pass, const Job &J, StepState &Step) {
   if (Step.PlannedTasks == 0)
     return;
   std::vector<std::string> NoTicket;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    Worker *On = Step.Tasks[I].At;
-    if (!On)
+    Worker *W = Step.Tasks[I].At;
+    if (!W)
       continue;
     const RunKey Run{{Step.Key, I}, Step.Tasks[I].Run};
-    Attempt &What = On->Attempts.at(Run);
-    if (What.Phase != AttemptPhase::Planned)
+    Attempt &A = W->Attempts.at(Run);
+    if (A.Phase != AttemptPhase::Planned)
       continue;
-    const bool Usable = What.OnTrial ? isEligible(In, *On, Of, Step) : isUsable(In, *On, Of, Step);
-    if (!Usable || In.Now - What.PhaseSince > In.Cell.Limits.PlanTimeout)
-      dropPlanned(In.Cell, *On, Run, In.Out);
-    else if (!hasTicket(In, Of, Step, *On))
-      NoTicket.push_back(On->Info.Id);
-    else if (fits(What.Need, On->Info.Capacity - On->Booked) &&
-             (!What.OnTrial || (isQuiet(*On, &Run) && mayLaunch(In.Cell, Run.Task, *On, In.Out))))
-      orderStart(In, Of, Step, I, *On, What);
+    const bool Usable = A.OnTrial ? isEligible(Pass, *W, J, Step) : isUsable(Pass, *W, J, Step);
+    if (!Usable || Pass.Now - A.PhaseSince > Pass.Cell.Limits.PlanTimeout)
+      dropPlanned(Pass.Cell, *W, Run, Pass.Out);
+    else if (!hasTicket(Pass, J, Step, *W))
+      NoTicket.push_back(W->Info.Id);
+    else if (fits(A.Need, W->Info.Capacity - W->Booked) &&
+             (!A.OnTrial || (isQuiet(*W, &Run) && mayLaunch(Pass.Cell, Run.Task, *W, Pass.Out))))
+      orderStart(Pass, J, Step, I, *W, A);
   }
   std::sort(NoTicket.begin(), NoTicket.end());
   NoTicket.erase(std::unique(NoTicket.begin(), NoTicket.end()), NoTicket.end());
-  requestAdvice(In, Of, Step, std::move(NoTicket));
+  requestAdvice(Pass, J, Step, std::move(NoTicket));
 }
 
-void noteUrgentNeed(CellState &Cell, const Resources &Need) {
+void updateMeanUrgentNeed(CellState &Cell, const Resources &Need) {
   Resources &Usual = Cell.MeanUrgentNeed;
-  Usual.MilliCores += (Need.MilliCores - Usual.MilliCores) / UrgentMemory;
-  Usual.MemoryMb += (Need.MemoryMb - Usual.MemoryMb) / UrgentMemory;
+  Usual.MilliCores += (Need.MilliCores - Usual.MilliCores) / UrgentMeanWeight;
+  Usual.MemoryMb += (Need.MemoryMb - Usual.MemoryMb) / UrgentMeanWeight;
 }
 
-bool placeSingles(PlacementPass &In, const Job &Of, StepState &Step) {
+bool placeSingles(PlacementPass &Pass, const Job &J, StepState &Step) {
   bool Missed = false;
   bool OverQuota = false;
   bool WaitsForSave = false;
   for (uint32_t I = 0; I < Step.Tasks.size() && !Missed; ++I) {
     TaskState &Task = Step.Tasks[I];
-    WaitsForSave = WaitsForSave || waitsForCrashSave(In.Cell, Task);
-    if (!isPlaceable(In, Of, Step, I))
+    WaitsForSave = WaitsForSave || waitsForCrashSave(Pass.Cell, Task);
+    if (!isPlaceable(Pass, J, Step, I))
       continue;
-    OverQuota = !isWithinQuota(In.Cell, Of.Owner, Step.Spec->Need);
+    OverQuota = !isWithinQuota(Pass.Cell, J.Owner, Step.Spec->Need);
     if (OverQuota) {
       Missed = true;
       continue;
     }
-    Worker *On = selectWorker(In, Of, Step, Task);
-    const bool Yields = !On && !beginsApart(Step, Task) && !Step.Queued->Late &&
-                        benefitsFromPreemption(In, Of, Step);
-    if (Yields)
-      On = selectWorkerToPreempt(In, Of, Step, Task);
-    if (!On) {
+    Worker *W = selectWorker(Pass, J, Step, Task);
+    const bool Preempts = !W && !beginsApart(Step, Task) && !Step.Queued->Late &&
+                          benefitsFromPreemption(Pass, J, Step);
+    if (Preempts)
+      W = selectWorkerToPreempt(Pass, J, Step, Task);
+    if (!W) {
       Missed = true;
       continue;
     }
-    book(In.Cell, Step, I, *On, nextRun(In.Cell, Step, I), AttemptPhase::Planned, Of, In.Now);
+    book(Pass.Cell, Step, I, *W, nextRun(Pass.Cell, Step, I), AttemptPhase::Planned, J, Pass.Now);
 
-    if (Of.Spec->Priority == 0)
-      noteUrgentNeed(In.Cell, needOf(Step));
-    if (Yields)
-      preemptFor(In, *On, Of.Spec->Priority);
+    if (J.Spec->Priority == 0)
+      updateMeanUrgentNeed(Pass.Cell, needOf(Step));
+    if (Preempts)
+      preemptFor(Pass, *W, J.Spec->Priority);
   }
-  launchSingles(In, Of, Step);
+  launchSingles(Pass, J, Step);
   if (Missed && !OverQuota)
-    widenSearch(In, Of, Step);
+    widenSearch(Pass, J, Step);
   Step.WaitReason = OverQuota      ? WaitsForQuota
                     : Missed       ? "no advised worker has room"
                     : WaitsForSave ? WaitsForCrashSave
@@ -156,40 +156,40 @@
 }
 
 // Begins a common look at all steps that wait, if one is due.
-bool beginCommonLook(PlacementPass &In) {
-  if (In.Now < In.Cell.NextFullScan)
+bool beginFullScan(PlacementPass &Pass) {
+  if (Pass.Now < Pass.Cell.NextFullScan)
     return false;
-  In.Cell.NextFullScan = In.Now + LookEvery;
-  In.Cell.FirstUnplaced.reset();
-  ++In.Cell.FullScans;
+  Pass.Cell.NextFullScan = Pass.Now + FullScanInterval;
+  Pass.Cell.FirstUnplaced.reset();
+  ++Pass.Cell.FullScans;
   return true;
 }
 
-void noteMissed(CellState &Cell, const QueueKey &Entry) {
+void noteUnplaced(CellState &Cell, const QueueKey &Entry) {
   if (!Cell.FirstUnplaced || Entry < *Cell.FirstUnplaced)
     Cell.FirstUnplaced = Entry;
 }
 
 // The first question of a step, unless nothing of it could start anyway.
-void askFirst(PlacementPass &In, const Job &Of, StepState &Step) {
-  const bool MayStart = isWithinQuota(In.Cell, Of.Owner, minCharge(*Step.Spec));
+void requestFirstAdvice(PlacementPass &Pass, const Job &J, StepState &Step) {
+  const bool MayStart = isWithinQuota(Pass.Cell, J.Owner, minCharge(*Step.Spec));
   Step.WaitReason = MayStart ? "" : WaitsForQuota;
-  if (MayStart && shouldRequestAdvice(In, Of, Step))
-    requestAdviceOnUnknown(In, Of, Step);
+  if (MayStart && shouldRequestAdvice(Pass, J, Step))
+    requestAdviceOnUnknown(Pass, J, Step);
 }
 
 // True if the step is left to the next common look: a step before it waits for room.
-bool leavesItsTurn(const PlacementPass &In, const QueueKey &Entry, const StepState &Step,
-                   bool IsCommon) {
+bool isDeferred(const PlacementPass &Pass, const QueueKey &Entry, const StepState &Step,
+                bool IsFullScan) {
   if (Entry.Priority == 0 || Step.PlannedTasks > 0 || Step.Advice.HasNewAnswer)
     return false;
-  if (IsCommon)
-    return Step.Spec->Gang && Step.LastPlacementFailed && In.Cell.FullScans % 2 != 0;
-  return In.Cell.FirstUnplaced && !(Entry < *In.Cell.FirstUnplaced);
+  if (IsFullScan)
+    return Step.Spec->Gang && Step.LastPlacementFailed && Pass.Cell.FullScans % 2 != 0;
+  return Pass.Cell.FirstUnplaced && !(Entry < *Pass.Cell.FirstUnplaced);
 }
 
 // True if the step has a task that still has to be placed or launched.
-bool hasWork(const StepState &Step) {
+bool hasUnstartedTasks(const StepState &Step) {
   return Step.PlannedTasks > 0 || std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
                                               [](const TaskState &T) { return !T.Done && !T.At; });
 }
@@ -198,8 +198,8 @@
 void place(CellState &Cell, TimePoint Now, Effects &Out) {
   if (!Cell.Loaded)
     return;
-  PlacementPass In = beginPass(Cell, Now, Out);
-  const bool IsCommon = beginCommonLook(In);
+  PlacementPass Pass = beginPass(Cell, Now, Out);
+  const bool IsFullScan = beginFullScan(Pass);
   int Misses = 0;
   std::tuple<bool, bool, int> Group{false, false, 0};
   bool Skipping = false;
@@ -215,36 +215,36 @@
     StepState *Step = findStep(Cell, Entry.Step);
     if (!Step || !Step->Queued)
       continue;
-    Job &Of = Cell.Jobs.at(Entry.Step.Job);
-    if (!hasWork(*Step)) {
+    Job &J = Cell.Jobs.at(Entry.Step.Job);
+    if (!hasUnstartedTasks(*Step)) {
       Cell.Queue.erase(*Step->Queued);
       Step->Queued.reset();
       continue;
     }
-    if (!Entry.Late && isLate(Of, *Step, Now))
-      queueStep(Cell, Of, *Step, Now); // behind those that can still meet theirs
-    if (leavesItsTurn(In, Entry, *Step, IsCommon))
+    if (!Entry.Late && isLate(J, *Step, Now))
+      queueStep(Cell, J, *Step, Now); // behind those that can still meet theirs
+    if (isDeferred(Pass, Entry, *Step, IsFullScan))
       continue;
-    if (Of.Spec->Advice && Step->Advice.AnsweredSlots.empty()) {
-      askFirst(In, Of, *Step);
+    if (J.Spec->Advice && Step->Advice.AnsweredSlots.empty()) {
+      requestFirstAdvice(Pass, J, *Step);
       Step->LastPlacementFailed = Step->Advice.OutstandingRequests == 0;
       if (Step->LastPlacementFailed)
-        noteMissed(Cell, Entry);
+        noteUnplaced(Cell, Entry);
       continue;
     }
     Step->Advice.HasNewAnswer = false;
     const size_t Before = Out.Starts.size();
-    const bool Placed = Step->Spec->Gang ? placeGang(In, Of, *Step) : placeSingles(In, Of, *Step);
-    notePlaced(In, Of, *Step, Before);
+    const bool Placed = Step->Spec->Gang ? placeGang(Pass, J, *Step) : placeSingles(Pass, J, *Step);
+    notePlaced(Pass, J, *Step, Before);
     Step->LastPlacementFailed = !Placed;
     if (!Placed && Step->Queued) {
-      renewTickets(In, Of, *Step);
-      noteMissed(Cell, Entry);
+      renewTickets(Pass, J, *Step);
+      noteUnplaced(Cell, Entry);
     }
     Misses = Placed ? 0 : Misses + 1;
-    Skipping = Misses >= MaxMissesInARow;
+    Skipping = Misses >= MaxConsecutiveMisses;
   }
-  migrateFromLeavingWorkers(In);
+  migrateFromLeavingWorkers(Pass);
 }
 
 } // namespace valveshelf::sched
--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -8,14 +8,14 @@
 namespace valveshelf::sched {
 namespace {
 // Room kept for an urgent task, over the mean size; three of four then fit.
-constexpr double UrgentSpread = 1.3;
+constexpr double UrgentSizeMargin = 1.3;
 // Urgent tasks for which there is always room to be: two steps of the usual width.
-constexpr int64_t LeastUrgentSeats = 8;
+constexpr int64_t MinUrgentTasks = 8;
 // Above what a far rack and an earlier failure add up to: on a worker where others are beginning a
 // task that begins apart has to wait for them.
-constexpr int NotQuietPenalty = 4;
+constexpr int BusyStartupPenalty = 4;
 // Below a far rack, which is slower than a worker that has just begun its life is for a while.
-constexpr int SlowPenalty = 1;
+constexpr int SlowWorkerPenalty = 1;
 } // namespace
 
 bool hasLabel(const WorkerInfo &Info, const std::string &Label) {
@@ -23,23 +23,23 @@
          std::find(Info.Labels.begin(), Info.Labels.end(), Label) != Info.Labels.end();
 }
 
-bool isEligible(const PlacementPass &In, const Worker &On, const Job &Of, const StepState &Step) {
-  return On.Heard && On.Saved && takesWork(On) && On.Answers && !On.Full &&
-         On.SetAsideUntil <= In.Now && On.Info.Service == Of.Spec->Service &&
-         hasLabel(On.Info, Step.Spec->RequiredLabel);
+bool isEligible(const PlacementPass &Pass, const Worker &W, const Job &J, const StepState &Step) {
+  return W.Heard && W.Saved && takesWork(W) && W.Answers && !W.Full &&
+         W.SetAsideUntil <= Pass.Now && W.Info.Service == J.Spec->Service &&
+         hasLabel(W.Info, Step.Spec->RequiredLabel);
 }
 
-bool isUsable(const PlacementPass &In, const Worker &On, const Job &Of, const StepState &Step) {
-  return On.Trials == 0 && isEligible(In, On, Of, Step);
+bool isUsable(const PlacementPass &Pass, const Worker &W, const Job &J, const StepState &Step) {
+  return W.Trials == 0 && isEligible(Pass, W, J, Step);
 }
 
 namespace {
 // The usual size of an urgent task, and somewhat more.
-Resources usualUrgentNeed(const CellState &Cell) {
-  const auto Larger = [](int64_t Usual) {
-    return static_cast<int64_t>(static_cast<double>(Usual) * UrgentSpread);
+Resources typicalUrgentNeed(const CellState &Cell) {
+  const auto WithMargin = [](int64_t Mean) {
+    return static_cast<int64_t>(static_cast<double>(Mean) * UrgentSizeMargin);
   };
-  return {Larger(Cell.MeanUrgentNeed.MilliCores), Larger(Cell.MeanUrgentNeed.MemoryMb), 0};
+  return {WithMargin(Cell.MeanUrgentNeed.MilliCores), WithMargin(Cell.MeanUrgentNeed.MemoryMb), 0};
 }
 } // namespace
 
@@ -47,55 +47,55 @@
 // can wait would stand before it while hundreds of urgent tasks could be started. It is kept only
 // while the cell as a whole has little of it.
 bool isUrgentCapacityScarce(CellState &Cell) {
-  const auto Wanted =
-      static_cast<int64_t>(Cell.Limits.UrgentHeadroom * Cell.UrgentAttempts) + LeastUrgentSeats;
-  const Resources Need = usualUrgentNeed(Cell);
+  const auto Required =
+      static_cast<int64_t>(Cell.Limits.UrgentHeadroom * Cell.UrgentAttempts) + MinUrgentTasks;
+  const Resources Need = typicalUrgentNeed(Cell);
   if (Need == Resources{})
     return true; // nothing is known of urgent tasks yet
-  int64_t Seats = 0;
+  int64_t Fitting = 0;
   // From where there was room last time: in a cell with some room a look at few workers is enough,
   // however large the fleet.
   const size_t Count = Cell.Slots.size();
   const size_t First = Count == 0 ? 0 : Cell.UrgentScanStart % Count;
   for (size_t I = 0; I < Count; ++I) {
     const size_t Slot = (First + I) % Count;
-    const Worker *On = Cell.Slots[Slot];
-    if (!On || !On->Heard || !On->Answers || !takesWork(*On))
+    const Worker *W = Cell.Slots[Slot];
+    if (!W || !W->Heard || !W->Answers || !takesWork(*W))
       continue;
-    const int64_t Here = countFitting(Need, On->Info.Capacity - On->Booked - On->Planned, Wanted);
-    if (Here > 0 && Seats == 0)
+    const int64_t FittingHere =
+        countFitting(Need, W->Info.Capacity - W->Booked - W->Planned, Required);
+    if (FittingHere > 0 && Fitting == 0)
       Cell.UrgentScanStart = Slot;
-    Seats += Here;
-    if (Seats >= Wanted)
+    Fitting += FittingHere;
+    if (Fitting >= Required)
       return false;
   }
   return true;
 }
 
-const Resources &maxFree(PlacementPass &In) {
-  if (In.MaxFree)
-    return *In.MaxFree;
-  In.MaxFree.emplace();
-  for (const Worker *On : In.Cell.Slots)
-    if (On && On->Heard && !On->Evacuated)
-      *In.MaxFree =
-          componentMax(*In.MaxFree, On->Info.Capacity - On->Booked - On->Planned - On->Claimed);
-  return *In.MaxFree;
+const Resources &maxFree(PlacementPass &Pass) {
+  if (Pass.MaxFree)
+    return *Pass.MaxFree;
+  Pass.MaxFree.emplace();
+  for (const Worker *W : Pass.Cell.Slots)
+    if (W && W->Heard && !W->Evacuated)
+      *Pass.MaxFree =
+          componentMax(*Pass.MaxFree, W->Info.Capacity - W->Booked - W->Planned - W->Claimed);
+  return *Pass.MaxFree;
 }
 
 namespace {
 // What is kept free on the worker for urgent tasks: room for one of the usual size.
-Resources urgentReserve(const PlacementPass &In, const Worker &On) {
-  const SchedulerLimits &Limits = In.Cell.Limits;
-  const Resources &Whole = On.Info.Capacity;
-  const auto Part = [&](int64_t Capacity, int64_t Wanted) {
-    const auto Least =
-        static_cast<int64_t>(static_cast<double>(Capacity) * Limits.MinUrgentReserve);
-    const auto Most = static_cast<int64_t>(static_cast<double>(Capacity) * Limits.MaxUrgentReserve);
-    return std::clamp(Wanted, Least, Most);
+Resources urgentReserve(const PlacementPass &Pass, const Worker &W) {
+  const SchedulerLimits &Limits = Pass.Cell.Limits;
+  const Resources &Total = W.Info.Capacity;
+  const auto Reserve = [&](int64_t Capacity, int64_t Required) {
+    const auto Min = static_cast<int64_t>(static_cast<double>(Capacity) * Limits.MinUrgentReserve);
+    const auto Max = static_cast<int64_t>(static_cast<double>(Capacity) * Limits.MaxUrgentReserve);
+    return std::clamp(Required, Min, Max);
   };
-  const Resources Usual = usualUrgentNeed(In.Cell);
-  return {Part(Whole.MilliCores, Usual.MilliCores), Part(Whole.MemoryMb, Usual.MemoryMb), 0};
+  const Resources Usual = typicalUrgentNeed(Pass.Cell);
+  return {Reserve(Total.MilliCores, Usual.MilliCores), Reserve(Total.MemoryMb, Usual.MemoryMb), 0};
 }
 } // namespace
 
@@ -108,79 +108,79 @@
 
 // What the step may still take. Work that can wait leaves some room for work that can't, but for
 // gangs, whose members are too large for what is left between them, and tasks that need it all.
-Resources freeCapacityFor(const PlacementPass &In, const Worker &On, const Job &Of,
+Resources freeCapacityFor(const PlacementPass &Pass, const Worker &W, const Job &J,
                           const StepState &Step) {
-  const Resources Room = On.Info.Capacity - On.Booked - On.Planned;
-  if (Of.Spec->Priority == 0 || Step.Spec->Gang || !In.KeepsUrgentReserve)
+  const Resources Room = W.Info.Capacity - W.Booked - W.Planned;
+  if (J.Spec->Priority == 0 || Step.Spec->Gang || !Pass.KeepsUrgentReserve)
     return Room;
-  const Resources Reserve = urgentReserve(In, On);
-  return fits(needOf(Step), On.Info.Capacity - Reserve) ? Room - Reserve : Room;
+  const Resources Reserve = urgentReserve(Pass, W);
+  return fits(needOf(Step), W.Info.Capacity - Reserve) ? Room - Reserve : Room;
 }
 
-uint32_t countTasksOn(const StepState &Step, const Worker &On) {
-  return static_cast<uint32_t>(std::count_if(
-      Step.Tasks.begin(), Step.Tasks.end(), [&](const TaskState &Task) { return Task.At == &On; }));
+uint32_t countTasksOn(const StepState &Step, const Worker &W) {
+  return static_cast<uint32_t>(std::count_if(Step.Tasks.begin(), Step.Tasks.end(),
+                                             [&](const TaskState &Task) { return Task.At == &W; }));
 }
 
-bool isAtTaskLimit(const StepState &Step, const Worker &On) {
-  return Step.Spec->MostPerWorker > 0 && countTasksOn(Step, On) >= Step.Spec->MostPerWorker;
+bool isAtTaskLimit(const StepState &Step, const Worker &W) {
+  return Step.Spec->MostPerWorker > 0 && countTasksOn(Step, W) >= Step.Spec->MostPerWorker;
 }
 
 // True if the task has just failed on the worker. Where few advised workers have room it would go
 // back at once and use up its attempts on a worker that fails everything.
-bool hasRecentlyFailedOn(const PlacementPass &In, const TaskState &Task, const Worker &On) {
-  return Task.FailedOn == &On && In.Now - Task.FailedAt < In.Cell.Limits.FailureAvoidanceTime;
+bool hasRecentlyFailedOn(const PlacementPass &Pass, const TaskState &Task, const Worker &W) {
+  return Task.FailedOn == &W && Pass.Now - Task.FailedAt < Pass.Cell.Limits.FailureAvoidanceTime;
 }
 
 namespace {
 // What could be stopped on the worker in favour of more urgent work: what is late already, or can
 // still meet its objective when it goes on elsewhere.
-bool canYield(const PlacementPass &In, const Attempt &What, int Priority) {
-  if (What.Phase != AttemptPhase::Running || !What.IsPreemptible || What.Priority <= Priority)
+bool canPreempt(const PlacementPass &Pass, const Attempt &A, int Priority) {
+  if (A.Phase != AttemptPhase::Running || !A.IsPreemptible || A.Priority <= Priority)
     return false;
-  const SchedulerLimits &Limits = In.Cell.Limits;
-  const Milliseconds Left = What.Estimate * (100 - What.Percent) / 100;
-  return In.Now > What.Objective ||
-         In.Now + Limits.StopTime + Left + Limits.PreemptionMargin < What.Objective;
+  const SchedulerLimits &Limits = Pass.Cell.Limits;
+  const Milliseconds Remaining = A.Estimate * (100 - A.Percent) / 100;
+  return Pass.Now > A.Objective ||
+         Pass.Now + Limits.StopTime + Remaining + Limits.PreemptionMargin < A.Objective;
 }
 } // namespace
 
 // True if the step can meet its objective though others have to be stopped first.
-bool benefitsFromPreemption(const PlacementPass &In, const Job &Of, const StepState &Step) {
-  if (Of.IsOverShare)
+bool benefitsFromPreemption(const PlacementPass &Pass, const Job &J, const StepState &Step) {
+  if (J.IsOverShare)
     return false; // it gets the room that nobody within a share needs
   return Step.Spec->Lasting ||
-         In.Now + In.Cell.Limits.StopTime + Step.Spec->Estimate < Of.Objective;
+         Pass.Now + Pass.Cell.Limits.StopTime + Step.Spec->Estimate < J.Objective;
 }
 
-Resources preemptibleResources(const PlacementPass &In, const Worker &On, int Priority) {
+Resources preemptibleResources(const PlacementPass &Pass, const Worker &W, int Priority) {
   Resources Sum;
-  if (On.Stoppable == Resources{})
+  if (W.Stoppable == Resources{})
     return Sum;
-  for (const auto &[Run, What] : On.Attempts)
-    if (canYield(In, What, Priority))
-      Sum += What.Need;
+  for (const auto &[Run, A] : W.Attempts)
+    if (canPreempt(Pass, A, Priority))
+      Sum += A.Need;
   return Sum;
 }
 
 // Stops the work that loses least until \p Missing would be free.
-void preemptFor(PlacementPass &In, Worker &On, int Priority) {
-  Resources Over = On.Booked + On.Planned - On.Info.Capacity;
+void preemptFor(PlacementPass &Pass, Worker &W, int Priority) {
+  Resources Deficit = W.Booked + W.Planned - W.Info.Capacity;
   std::vector<std::pair<TimePoint, RunKey>> Candidates;
-  for (const auto &[Run, What] : On.Attempts) {
-    if (What.Phase == AttemptPhase::Stopping)
-      Over -= What.Need; // is being freed already
-    else if (canYield(In, What, Priority))
-      Candidates.emplace_back(What.StartedAt, Run);
+  for (const auto &[Run, A] : W.Attempts) {
+    if (A.Phase == AttemptPhase::Stopping)
+      Deficit -= A.Need; // is being freed already
+    else if (canPreempt(Pass, A, Priority))
+      Candidates.emplace_back(A.StartedAt, Run);
   }
   std::sort(Candidates.begin(), Candidates.end());
   while (!Candidates.empty() &&
-         (Over.MilliCores > 0 || Over.MemoryMb > 0 || Over.Accelerators > 0)) {
+         (Deficit.MilliCores > 0 || Deficit.MemoryMb > 0 || Deficit.Accelerators > 0)) {
     const RunKey Run = Candidates.back().second; // the newest has the least to save
     Candidates.pop_back();
-    Over -= On.Attempts.at(Run).Need;
-    On.Attempts.at(Run).IsPreempted = true;
-    stopAttempt(In.Cell, On, Run, "its room is needed by more urgent work", In.Now, In.Out);
+    Deficit -= W.Attempts.at(Run).Need;
+    W.Attempts.at(Run).IsPreempted = true;
+    stopAttempt(Pass.Cell, W, Run, "its room is needed by more urgent work", Pass.Now, Pass.Out);
   }
 }
 
@@ -188,44 +188,44 @@
 // Smaller is better.
 struct Score {
   int Penalty = 0;
-  int64_t Left = 0;
+  int64_t Remaining = 0;
   friend bool operator<(const Score &A, const Score &B) {
-    return std::tie(A.Penalty, A.Left) < std::tie(B.Penalty, B.Left);
+    return std::tie(A.Penalty, A.Remaining) < std::tie(B.Penalty, B.Remaining);
   }
 };
 
-Score scoreOf(const PlacementPass &In, const Job &Of, const StepState &Step, const TaskState &Task,
-              const Worker &On) {
+Score scoreOf(const PlacementPass &Pass, const Job &J, const StepState &Step, const TaskState &Task,
+              const Worker &W) {
   Score Value;
-  const bool Far = !Step.Spec->NearRack.empty() && On.Info.Rack != Step.Spec->NearRack;
+  const bool Far = !Step.Spec->NearRack.empty() && W.Info.Rack != Step.Spec->NearRack;
   Value.Penalty += Far ? 2 : 0;
-  Value.Penalty += Task.FailedOn == &On ? 1 : 0;
+  Value.Penalty += Task.FailedOn == &W ? 1 : 0;
   // A caller waits for the slowest task: a worker that is still slow is taken when no other is.
-  Value.Penalty += On.SlowUntil > In.Now ? SlowPenalty : 0;
+  Value.Penalty += W.SlowUntil > Pass.Now ? SlowWorkerPenalty : 0;
   // What may crash its worker goes where it can begin at once and takes least with it.
-  const bool Apart = beginsApart(Step, Task);
-  Value.Penalty += Apart && !isQuiet(On) ? NotQuietPenalty : 0;
+  const bool Isolated = beginsApart(Step, Task);
+  Value.Penalty += Isolated && !isQuiet(W) ? BusyStartupPenalty : 0;
   // Urgent work is spread; work that can wait is packed, which leaves large gaps for gangs.
-  const int64_t Left = freeCapacityFor(In, On, Of, Step).MilliCores;
-  Value.Left = Of.Spec->Priority == 0 || Apart ? -Left : Left;
+  const int64_t Remaining = freeCapacityFor(Pass, W, J, Step).MilliCores;
+  Value.Remaining = J.Spec->Priority == 0 || Isolated ? -Remaining : Remaining;
   return Value;
 }
 } // namespace
 
-Worker *selectWorker(PlacementPass &In, const Job &Of, StepState &Step, const TaskState &Task) {
+Worker *selectWorker(PlacementPass &Pass, const Job &J, StepState &Step, const TaskState &Task) {
   Worker *Best = nullptr;
   Score BestScore;
   const Resources Need = needOf(Step);
-  const bool Apart = beginsApart(Step, Task);
-  forEachAdvisedWorker(In, Of, Step, [&](Worker &On) {
-    if (Apart && On.Planned != Resources{})
+  const bool Isolated = beginsApart(Step, Task);
+  forEachAdvisedWorker(Pass, J, Step, [&](Worker &W) {
+    if (Isolated && W.Planned != Resources{})
       return;
-    if (!fits(Need, freeCapacityFor(In, On, Of, Step)) || !isUsable(In, On, Of, Step) ||
-        isAtTaskLimit(Step, On) || hasRecentlyFailedOn(In, Task, On) || !canPlan(In, Of, Step, On))
+    if (!fits(Need, freeCapacityFor(Pass, W, J, Step)) || !isUsable(Pass, W, J, Step) ||
+        isAtTaskLimit(Step, W) || hasRecentlyFailedOn(Pass, Task, W) || !canPlan(Pass, J, Step, W))
       return;
-    const Score Value = scoreOf(In, Of, Step, Task, On);
+    const Score Value = scoreOf(Pass, J, Step, Task, W);
     if (!Best || Value < BestScore) {
-      Best = &On;
+      Best = &W;
       BestScore = Value;
     }
   });
@@ -233,24 +233,24 @@
 }
 
 // A worker where stopping less urgent work makes room; the one with most of it.
-Worker *selectWorkerToPreempt(PlacementPass &In, const Job &Of, StepState &Step,
+Worker *selectWorkerToPreempt(PlacementPass &Pass, const Job &J, StepState &Step,
                               const TaskState &Task) {
   Worker *Best = nullptr;
   int64_t BestRoom = 0;
   const Resources Need = needOf(Step);
-  const int Priority = Of.Spec->Priority;
-  forEachAdvisedWorker(In, Of, Step, [&](Worker &On) {
-    const Resources Free = freeCapacityFor(In, On, Of, Step);
-    const Resources Most = Free + On.Stoppable;
+  const int Priority = J.Spec->Priority;
+  forEachAdvisedWorker(Pass, J, Step, [&](Worker &W) {
+    const Resources Free = freeCapacityFor(Pass, W, J, Step);
+    const Resources Max = Free + W.Stoppable;
     // Most workers are passed over by this bound alone, without a look at each run there.
-    if (!fits(Need, Most) || (Best && Most.MilliCores <= BestRoom))
+    if (!fits(Need, Max) || (Best && Max.MilliCores <= BestRoom))
       return;
-    if (!isUsable(In, On, Of, Step) || isAtTaskLimit(Step, On) ||
-        hasRecentlyFailedOn(In, Task, On) || !canPlan(In, Of, Step, On))
+    if (!isUsable(Pass, W, J, Step) || isAtTaskLimit(Step, W) ||
+        hasRecentlyFailedOn(Pass, Task, W) || !canPlan(Pass, J, Step, W))
       return;
-    const Resources Room = Free + preemptibleResources(In, On, Priority);
+    const Resources Room = Free + preemptibleResources(Pass, W, Priority);
     if (fits(Need, Room) && (!Best || Room.MilliCores > BestRoom)) {
-      Best = &On;
+      Best = &W;
       BestRoom = Room.MilliCores;
     }
   });
