--- a/src/base/compression_test.cpp
+++ b/src/base/compression_test.cpp
@@ -14,7 +14,7 @@
   return Text;
 }
 
-TEST(Packing, ATextIsReadAsItWas) {
+TEST(Compression, RoundTripsText) {
   for (const std::string &Text : {std::string(), std::string("x"), configurationText()}) {
     const Result<std::string> Read = decompress(compress(Text), 1 << 20);
     ASSERT_TRUE(ok(Read));
@@ -23,7 +23,7 @@
   EXPECT_LT(compress(configurationText()).size() * 5, configurationText().size());
 }
 
-TEST(Packing, WhatIsCutForeignOrTooLongIsRefused) {
+TEST(Compression, RejectsTruncatedForeignAndOversizedInput) {
   const std::string Packed = compress(configurationText());
   EXPECT_FALSE(ok(decompress(std::string_view(Packed).substr(0, Packed.size() / 2), 1 << 20)));
   EXPECT_FALSE(ok(decompress("{\"version\":7}", 1 << 20)));
--- a/src/scheduler/capacity_test.cpp
+++ b/src/scheduler/capacity_test.cpp
@@ -9,81 +9,80 @@
 using namespace std::chrono_literals;
 
 // Waiting steps are looked at again after this time.
-constexpr Milliseconds NextLook{50};
+constexpr Milliseconds RescanTime{50};
 // Nothing of these tests is late.
 constexpr double Extension = 100;
 
 // One worker of ten cores.
 struct OneWorker : PlacementScene {
   OneWorker() : PlacementScene(0) { addWorker("w", {10000, 100000, 0}); }
-  void say(int64_t MilliCores) { sayCapacity("w", {MilliCores, 100000, 0}); }
+  void listCapacity(int64_t MilliCores) { sayCapacity("w", {MilliCores, 100000, 0}); }
 };
 
-TEST(Capacity, WhatHasShrunkTakesNothingNewUntilItHasRoomAgain) {
+TEST(Capacity, AShrunkWorkerTakesNoNewTaskUntilItFits) {
   OneWorker Given;
   Given.submit(0, tasks(3, 2000, 10s), Extension);
-  ASSERT_EQ(Given.pass(NextLook).Starts.size(), 3u);
-  Given.say(7000);
+  ASSERT_EQ(Given.pass(RescanTime).Starts.size(), 3u);
+  Given.listCapacity(7000);
   Given.submit(0, tasks(1, 2000, 10s), Extension);
-  EXPECT_TRUE(Given.pass(NextLook).Starts.empty());
-  Given.say(5000); // less than what runs there, which runs on
-  Effects Out = Given.pass(NextLook);
+  EXPECT_TRUE(Given.pass(RescanTime).Starts.empty());
+  Given.listCapacity(5000); // less than what runs there, which runs on
+  Effects Out = Given.pass(RescanTime);
   EXPECT_TRUE(Out.Starts.empty());
   EXPECT_TRUE(Out.Stops.empty());
-  Given.say(8000);
-  EXPECT_EQ(Given.pass(NextLook).Starts.size(), 1u);
+  Given.listCapacity(8000);
+  EXPECT_EQ(Given.pass(RescanTime).Starts.size(), 1u);
 }
 
-TEST(Capacity, WhatIsBeingStoppedCountsInAShrunkenOne) {
+TEST(Capacity, AStoppingRunOccupiesAShrunkWorker) {
   OneWorker Given;
   Given.submit(2, tasks(2, 4000, 10s, true), Extension);
-  ASSERT_EQ(Given.pass(NextLook).Starts.size(), 2u);
-  Given.say(8000);
+  ASSERT_EQ(Given.pass(RescanTime).Starts.size(), 2u);
+  Given.listCapacity(8000);
   Given.submit(0, tasks(1, 4000, 10s), Extension);
-  const Effects Out = Given.pass(NextLook);
+  const Effects Out = Given.pass(RescanTime);
   EXPECT_EQ(Out.Stops.size(), 1u);
   EXPECT_TRUE(Out.Starts.empty());
   Effects Then;
   stopAnswered(Given.Cell, "w", Out.Stops.at(0).Run, true, Given.Now, Then);
-  EXPECT_TRUE(Given.pass(NextLook).Starts.empty()) << "it may be there still";
+  EXPECT_TRUE(Given.pass(RescanTime).Starts.empty()) << "it may be there still";
   WorkerReport Ended;
   Ended.Ended.push_back({1, Out.Stops[0].Run, RunEnd::Stopped, ""});
   workerReported(Given.Cell, "w", Ended, Given.Now, Given.Now, Then);
-  EXPECT_EQ(Given.pass(NextLook).Starts.size(), 1u);
+  EXPECT_EQ(Given.pass(RescanTime).Starts.size(), 1u);
 }
 
 // Room is planned, and the tickets come after it has gone.
-TEST(Capacity, APlanIsNotLaunchedIntoAShrunkenOne) {
+TEST(Capacity, APlanIsNotLaunchedOnAShrunkWorker) {
   for (const bool Gang : {false, true}) {
     OneWorker Given;
     Given.Cell.AdviceConcurrency = 2;
     StepSpec Step = tasks(2, 4000, 10s);
     Step.Gang = Gang;
     Given.submit(1, Step, Extension, true);
-    Effects Out = Given.pass(NextLook);
+    Effects Out = Given.pass(RescanTime);
     ASSERT_EQ(Out.AdviceRequests.size(), 1u);
     adviceAnswered(Given.Cell, Out.AdviceRequests[0].Step, {"w"}, {{"w", "ticket"}}, 2s, Given.Now);
-    Given.say(7000);
-    Out = Given.pass(NextLook);
+    Given.listCapacity(7000);
+    Out = Given.pass(RescanTime);
     EXPECT_EQ(Out.Starts.size(), Gang ? 0u : 1u);
-    Given.say(10000);
+    Given.listCapacity(10000);
     Given.Now += 3s; // a plan that came to nothing is given up by then
     for (int I = 0; I < 4; ++I) {
-      for (const Effects::AdviceRequest &Question : Out.AdviceRequests)
-        adviceAnswered(Given.Cell, Question.Step, Question.Workers, {{"w", "ticket"}}, 2s,
-                       Given.Now);
-      Out = Given.pass(NextLook);
+      for (const Effects::AdviceRequest &Request : Out.AdviceRequests)
+        adviceAnswered(Given.Cell, Request.Step, Request.Workers, {{"w", "ticket"}}, 2s, Given.Now);
+      Out = Given.pass(RescanTime);
     }
     EXPECT_EQ(Given.Cell.Workers.at("w").Booked.MilliCores, 8000) << "gang: " << Gang;
   }
 }
 
 // The store's record of the worker has its room of before; the list has what it says of itself now.
-TEST(Capacity, ASchedulerThatTakesOverGoesByWhatTheWorkerSays) {
+TEST(Capacity, ATakeoverUsesTheListedCapacityNotTheRecordedOne) {
   for (const bool RecordFirst : {false, true}) {
     OneWorker Given;
     const JobId Old = Given.submit(1, tasks(1, 4000, 10s), Extension);
-    const Effects Before = Given.pass(NextLook);
+    const Effects Before = Given.pass(RescanTime);
     ASSERT_EQ(Before.Starts.size(), 1u);
     const WorkerInfo Recorded = Given.Cell.Workers.at("w").Info;
     const JobSpecPtr Spec = Given.Cell.Jobs.at(Old).Spec;
@@ -91,7 +90,7 @@
     Given.Cell.FirstRun = 1001;
     if (RecordFirst)
       workerMayHoldRuns(Given.Cell, Recorded, Given.Now + 6s);
-    Given.say(5000);
+    Given.listCapacity(5000);
     if (!RecordFirst)
       workerMayHoldRuns(Given.Cell, Recorded, Given.Now + 6s);
     addJob(Given.Cell, Spec, Old, false, Given.Now);
@@ -101,9 +100,9 @@
     Report.Active.push_back({Before.Starts[0].Run, "", 10});
     workerReported(Given.Cell, "w", Report, Given.Now, Given.Now, Out);
     Given.submit(0, tasks(1, 2000, 10s), Extension);
-    EXPECT_TRUE(Given.pass(NextLook).Starts.empty()) << "record first: " << RecordFirst;
-    Given.say(6000);
-    EXPECT_EQ(Given.pass(NextLook).Starts.size(), 1u) << "record first: " << RecordFirst;
+    EXPECT_TRUE(Given.pass(RescanTime).Starts.empty()) << "record first: " << RecordFirst;
+    Given.listCapacity(6000);
+    EXPECT_EQ(Given.pass(RescanTime).Starts.size(), 1u) << "record first: " << RecordFirst;
   }
 }
 
--- a/src/scheduler/organisations_test.cpp
+++ b/src/scheduler/organisations_test.cpp
@@ -19,7 +19,7 @@
   return Info;
 }
 
-CellConfiguration northMayHave(int64_t MilliCores) {
+CellConfiguration configWithMaximum(int64_t MilliCores) {
   CellConfiguration Config;
   Config.Organisations = {{"north", {"key"}, 1, {MilliCores, 0, 0}}};
   return Config;
@@ -29,21 +29,21 @@
 public:
   explicit Scene(int Workers, int64_t MilliCores) {
     Cell.WallAt = Now;
-    applyConfiguration(Cell, northMayHave(MilliCores));
+    applyConfiguration(Cell, configWithMaximum(MilliCores));
     for (int I = 0; I < Workers; ++I)
       workerListed(Cell, workerOf("w" + std::to_string(I)), Now);
   }
 
-  void hearAll() {
-    for (auto &[Id, On] : Cell.Workers)
-      hear(Id, {});
+  void reportAll() {
+    for (auto &[Id, W] : Cell.Workers)
+      report(Id, {});
   }
-  void hearAllBut(const std::string &Silent) {
-    for (auto &[Id, On] : Cell.Workers)
+  void reportAllExcept(const std::string &Silent) {
+    for (auto &[Id, W] : Cell.Workers)
       if (Id != Silent)
-        hear(Id, {});
+        report(Id, {});
   }
-  void hear(const std::string &Id, const WorkerReport &Report) {
+  void report(const std::string &Id, const WorkerReport &Report) {
     Cell.Workers.at(Id).Saved = true;
     Effects Out;
     workerReported(Cell, Id, Report, Now, Now, Out);
@@ -89,10 +89,10 @@
   JobId LastJob = 0;
 };
 
-TEST(Organisations, StartsStayWithinTheMaximumOverAllWorkers) {
+TEST(Organisations, UsageStaysWithinTheMaximumOverAllWorkers) {
   Scene Given(4, 5000);
   Given.load();
-  Given.hearAll();
+  Given.reportAll();
   const JobId Held = Given.submit("north", 10, 1000);
   Given.submit("", 10, 1000);
   EXPECT_EQ(Given.pass().size(), 15u);
@@ -104,7 +104,7 @@
 TEST(Organisations, AGangStartsWholeOrNotAtAll) {
   Scene Given(4, 5000);
   Given.load();
-  Given.hearAll();
+  Given.reportAll();
   Given.submit("north", 2, 1000);
   EXPECT_EQ(Given.pass().size(), 2u);
   Given.submit("north", 4, 1000, true);
@@ -113,10 +113,10 @@
   EXPECT_EQ(Given.pass().size(), 3u);
 }
 
-TEST(Organisations, WhatGotNoAnswerOrIsBeingStoppedStillCounts) {
+TEST(Organisations, UncertainAndStoppingAttemptsStillCount) {
   Scene Given(4, 3000);
   Given.load();
-  Given.hearAll();
+  Given.reportAll();
   const JobId First = Given.submit("north", 3, 1000);
   const auto Orders = Given.pass();
   ASSERT_EQ(Orders.size(), 3u);
@@ -129,37 +129,38 @@
   EXPECT_EQ(Given.pass().size(), 0u);
 }
 
-TEST(Organisations, ALoweredMaximumHoldsForWhatIsNew) {
+TEST(Organisations, ALoweredMaximumAppliesToNewStartsOnly) {
   Scene Given(4, 6000);
   Given.load();
-  Given.hearAll();
+  Given.reportAll();
   Given.submit("north", 4, 1000);
   EXPECT_EQ(Given.pass().size(), 4u);
-  applyConfiguration(Given.Cell, northMayHave(4000));
+  applyConfiguration(Given.Cell, configWithMaximum(4000));
   Given.submit("north", 2, 1000);
   EXPECT_EQ(Given.pass().size(), 0u);
-  applyConfiguration(Given.Cell, northMayHave(5000));
+  applyConfiguration(Given.Cell, configWithMaximum(5000));
   EXPECT_EQ(Given.pass().size(), 1u);
 }
 
 // A burst of a second's worth is within the share, and what time brings back; not more.
 TEST(Organisations, TheShareIsARateWithABurstOfOneSecond) {
-  OrganisationState Of;
-  Of.Weight = 3;
+  OrganisationState Org;
+  Org.Weight = 3;
   const WallTime At(1000s);
-  EXPECT_TRUE(consumeShare(Of, At) && consumeShare(Of, At) && consumeShare(Of, At));
-  EXPECT_FALSE(consumeShare(Of, At));
-  EXPECT_FALSE(consumeShare(Of, At + 300ms));
-  EXPECT_TRUE(consumeShare(Of, At + 400ms));
-  EXPECT_FALSE(consumeShare(Of, At + 350ms)) << "handed in at another process";
-  EXPECT_TRUE(consumeShare(Of, At + 9s) && consumeShare(Of, At + 9s) && consumeShare(Of, At + 9s));
-  EXPECT_FALSE(consumeShare(Of, At + 9s));
-  Of.Weight = 0;
-  EXPECT_TRUE(consumeShare(Of, At + 9s)) << "no share is set";
+  EXPECT_TRUE(consumeShare(Org, At) && consumeShare(Org, At) && consumeShare(Org, At));
+  EXPECT_FALSE(consumeShare(Org, At));
+  EXPECT_FALSE(consumeShare(Org, At + 300ms));
+  EXPECT_TRUE(consumeShare(Org, At + 400ms));
+  EXPECT_FALSE(consumeShare(Org, At + 350ms)) << "handed in at another process";
+  EXPECT_TRUE(consumeShare(Org, At + 9s) && consumeShare(Org, At + 9s) &&
+              consumeShare(Org, At + 9s));
+  EXPECT_FALSE(consumeShare(Org, At + 9s));
+  Org.Weight = 0;
+  EXPECT_TRUE(consumeShare(Org, At + 9s)) << "no share is set";
 }
 
 // After a takeover the same jobs are beyond it, by the time at which they were handed in.
-TEST(Organisations, TheShareIsReckonedAnewAtATakeover) {
+TEST(Organisations, TheShareIsRecomputedAtATakeover) {
   Scene Given(2, 5000);
   Given.Cell.Organisations.at("north").Weight = 1;
   const JobId First = Given.submit("north", 1, 1000, false, false);
@@ -169,84 +170,84 @@
   EXPECT_TRUE(Given.Cell.Jobs.at(Second).IsOverShare);
 }
 
-TEST(Organisations, NothingOfThemStartsBeforeTheConfigurationIsKnown) {
+TEST(Organisations, NothingStartsBeforeTheConfigurationIsKnown) {
   Scene Given(4, 6000);
   Given.load();
-  Given.hearAll();
+  Given.reportAll();
   Given.Cell.HasConfiguration = false;
   Given.submit("north", 2, 1000);
   EXPECT_EQ(Given.pass().size(), 0u);
 }
 
 // The scheduler before may have had all of the maximum running on the worker that is not heard yet.
-TEST(Organisations, AfterATakeoverOldTasksCountUntilTheirWorkersAreHeard) {
+TEST(Organisations, AfterATakeoverOldTasksCountUntilTheirWorkersReport) {
   Scene Given(3, 4000);
   workerMayHoldRuns(Given.Cell, workerOf("w0"), Given.Now + 5s);
   workerSilent(Given.Cell, "w0");
   Given.submit("north", 3, 1000, false, false);
   Given.load();
-  Given.hear("w1", {});
-  Given.hear("w2", {});
+  Given.report("w1", {});
+  Given.report("w2", {});
   Given.submit("north", 3, 1000);
   EXPECT_EQ(Given.pass().size(), 1u) << "three of four may run unheard";
-  Given.hear("w0", {});
+  Given.report("w0", {});
   EXPECT_EQ(Given.pass().size(), 3u);
 }
 
 // The scheduler before may still start what was accepted since, where nobody has heard of this one;
 // work in another pool must leave room for it.
-TEST(Organisations, WhatMayBeStartedMeanwhileCountsInOtherPoolsToo) {
+TEST(Organisations, TasksThatThePredecessorMayStillStartCountInEveryPool) {
   Scene Given(2, 4000);
   WorkerInfo Elsewhere = workerOf("x0");
   Elsewhere.Service = "other";
   workerMayHoldRuns(Given.Cell, Elsewhere, Given.Now + 5s); // asked, and has not answered yet
   Given.load();
-  Given.hearAllBut("x0");
+  Given.reportAllExcept("x0");
   Given.submit("north", 3, 1000, false, true, "other");
   Given.submit("north", 3, 1000);
   EXPECT_EQ(Given.pass().size(), 1u);
 }
 
 // A run that the task does not need is there until its end is heard.
-TEST(Organisations, ARunThatIsNotNeededCountsUntilItIsGone) {
+TEST(Organisations, ADuplicateRunCountsUntilItHasEnded) {
   Scene Given(2, 2000);
   const JobId Old = Given.submit("north", 1, 1000, false, false);
   Given.load();
   WorkerReport Report;
   Report.Active.push_back({{{{Old, 0, 0}, 0}, 7}, "", 10});
-  Given.hear("w0", Report);
+  Given.report("w0", Report);
   Report.Active[0].Run.Run = 6;
-  Given.hear("w1", Report);
+  Given.report("w1", Report);
   Given.submit("north", 2, 1000);
   EXPECT_EQ(Given.pass().size(), 0u);
 }
 
 // Its size is not known any more; it may be as large as its worker.
-TEST(Organisations, ARunOfAnEndedJobCountsUntilItIsGone) {
+TEST(Organisations, ARunOfAnEndedJobCountsUntilItHasEnded) {
   Scene Given(2, 20000);
   Given.Cell.EndedJobs[77] = {JobPhase::Cancelled, 1, {}, "north"};
   Given.load();
   WorkerReport Report;
   Report.Active.push_back({{{{77, 0, 0}, 0}, 7}, "", 10});
-  Given.hear("w0", Report);
-  Given.hear("w1", {});
+  Given.report("w0", Report);
+  Given.report("w1", {});
   Given.submit("north", 10, 1000);
   EXPECT_EQ(Given.pass().size(), 4u);
   WorkerReport End;
   End.Ended.push_back({1, {{{77, 0, 0}, 0}, 7}, RunEnd::Stopped, ""});
-  Given.hear("w0", End);
+  Given.report("w0", End);
   EXPECT_EQ(Given.pass().size(), 6u);
 }
 
 // A backlog of hundreds of tasks can't all run on the one worker that is silent.
-TEST(Organisations, UnheardWorkersHoldNoMoreThanTheirRoom) {
+TEST(Organisations, UnreportedUsageIsBoundedByTheWorkersCapacity) {
   Scene Given(3, 30000);
   workerMayHoldRuns(Given.Cell, workerOf("w0"), Given.Now + 5s);
   workerSilent(Given.Cell, "w0");
   Given.submit("north", 200, 1000, false, false);
   Given.load();
-  Given.hear("w1", {});
-  Given.hear("w2", {});
+  Given.report("w1", {});
+  Given.report("w2", {});
   Given.submit("north", 20, 1000);
   EXPECT_EQ(Given.pass().size(), 14u) << "30 cores less the 16 of the worker";
 }
--- a/src/scheduler/placement_test.cpp
+++ b/src/scheduler/placement_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-TEST(Placement, KeepsRoomForAnUrgentTaskOfTheUsualSize) {
+TEST(Placement, ReservesCapacityForATypicalUrgentTask) {
   PlacementScene Given(1);
   // Urgent tasks of ten cores make the usual size.
   for (int I = 0; I < 400; ++I) {
@@ -29,7 +29,7 @@
 }
 
 // Room for urgent tasks is plenty in the cell, so that this worker need not keep any.
-TEST(Placement, KeepsNoRoomOnAWorkerWhileTheCellHasEnough) {
+TEST(Placement, ReservesNothingWhileUrgentCapacityIsAmple) {
   PlacementScene Given(12);
   Given.submit(0, tasks(4, 10000, 100ms), 100);
   ASSERT_EQ(Given.pass().Starts.size(), 4u);
@@ -42,13 +42,13 @@
   EXPECT_EQ(Workers.size(), 1u) << "packed, on one that holds an urgent task already";
 }
 
-TEST(Placement, ATaskThatNeedsAWholeWorkerGetsIt) {
+TEST(Placement, TheReserveDoesNotBlockATaskThatFillsAWorker) {
   PlacementScene Given(1);
   Given.submit(2, tasks(1, WorkerSize.MilliCores, 1000ms), 10);
   EXPECT_EQ(Given.pass().Starts.size(), 1u);
 }
 
-TEST(Placement, StopsWorkThatCanWaitForAnUrgentTask) {
+TEST(Placement, PreemptsForAnUrgentTask) {
   PlacementScene Given(1);
   Given.submit(2, tasks(5, 10000, 2000ms, true), 10);
   ASSERT_EQ(Given.pass().Starts.size(), 5u);
@@ -56,7 +56,7 @@
   EXPECT_EQ(Given.pass().Stops.size(), 1u);
 }
 
-TEST(Placement, StopsNothingForATaskThatWouldBeLateAllTheSame) {
+TEST(Placement, DoesNotPreemptForATaskThatWouldStillBeLate) {
   PlacementScene Given(1);
   Given.Cell.Limits.StopTime = 900ms;
   Given.submit(2, tasks(5, 10000, 2000ms, true), 10);
@@ -65,7 +65,7 @@
   EXPECT_TRUE(Given.pass().Stops.empty());
 }
 
-TEST(Placement, StopsNothingThatWouldMissItsObjectiveElsewhere) {
+TEST(Placement, DoesNotPreemptATaskThatWouldThenMissItsObjective) {
   PlacementScene Given(1);
   Given.submit(2, tasks(5, 10000, 2000ms, true), 1.2);
   ASSERT_EQ(Given.pass().Starts.size(), 5u);
@@ -73,7 +73,7 @@
   EXPECT_TRUE(Given.pass().Stops.empty());
 }
 
-TEST(Placement, StopsWhatIsLateAlready) {
+TEST(Placement, PreemptsATaskThatIsAlreadyLate) {
   PlacementScene Given(1);
   Given.submit(2, tasks(5, 10000, 2000ms, true), 1.2);
   ASSERT_EQ(Given.pass().Starts.size(), 5u);
@@ -94,7 +94,7 @@
   EXPECT_EQ(Given.pass().Stops.size(), 1u);
 }
 
-TEST(Placement, AWorkerThatIsGoneLeavesNoPermitBehind) {
+TEST(Placement, ThePermitOfARemovedWorkerIsNotReused) {
   PlacementScene Given(2);
   const JobId Job = Given.submit(0, tasks(1, 1000, 100ms), 100, true);
   ASSERT_EQ(Given.pass().AdviceRequests.size(), 1u);
@@ -122,7 +122,7 @@
   }
 };
 
-TEST(Tickets, AreRenewedWhileAStepWaitsForRoom) {
+TEST(Tickets, AreRenewedWhileAStepWaitsForCapacity) {
   FullWorker Given;
   Given.Cell.AdviceConcurrency = 3;
   EXPECT_TRUE(Given.pass().AdviceRequests.empty()) << "they are fresh";
@@ -137,7 +137,7 @@
 }
 
 // The room is left to others until a ticket can be asked for.
-TEST(Tickets, NoRoomIsHeldWhereNoneCanBeAskedFor) {
+TEST(Tickets, NoCapacityIsHeldWhileNoneCanBeRequested) {
   PlacementScene Given(1);
   Given.Cell.AdviceConcurrency = 1;
   const StepKey Step{Given.submit(1, tasks(4, 10000, 1s, true), 100, true), 0, 0};
@@ -151,7 +151,7 @@
   EXPECT_EQ(Given.pass().Starts.size(), 5u);
 }
 
-TEST(Tickets, AreNotRenewedWithoutLanesToSpare) {
+TEST(Tickets, AreNotRenewedWithoutSpareConcurrency) {
   FullWorker Given;
   Given.Cell.AdviceConcurrency = 2;
   Given.Now += 1300ms;
@@ -159,27 +159,27 @@
 }
 
 // What a question is likely to take is left to it by the next one, until it is answered.
-TEST(Advice, QuestionsDoNotNameTheSameRoomAtATime) {
+TEST(Advice, ConcurrentRequestsNameDifferentWorkers) {
   PlacementScene Given(60);
   Given.Cell.AdviceConcurrency = 30;
   Given.Cell.ApprovalRates["q"] = 0.9;
   const auto Wide = [&] { return Given.submit(2, tasks(30, 8000, 1s), 100, true, "q"); };
   const StepKey First{Wide(), 0, 0};
-  const auto Asked = Given.pass().AdviceRequests;
-  ASSERT_EQ(Asked.size(), 1u);
+  const auto Requests = Given.pass().AdviceRequests;
+  ASSERT_EQ(Requests.size(), 1u);
   Wide();
-  const auto Next = Given.pass().AdviceRequests;
-  ASSERT_EQ(Next.size(), 1u);
-  const std::set<std::string> Named(Asked[0].Workers.begin(), Asked[0].Workers.end());
-  for (const std::string &Id : Next[0].Workers)
+  const auto Second = Given.pass().AdviceRequests;
+  ASSERT_EQ(Second.size(), 1u);
+  const std::set<std::string> Named(Requests[0].Workers.begin(), Requests[0].Workers.end());
+  for (const std::string &Id : Second[0].Workers)
     EXPECT_EQ(Named.count(Id), 0u) << Id;
-  adviceAnswered(Given.Cell, First, Asked[0].Workers, {}, 1500ms, Given.Now);
-  for (const std::string &Id : Asked[0].Workers)
+  adviceAnswered(Given.Cell, First, Requests[0].Workers, {}, 1500ms, Given.Now);
+  for (const std::string &Id : Requests[0].Workers)
     EXPECT_EQ(Given.Cell.Workers.at(Id).Claimed, Resources{});
 }
 
 // It learns on which workers it may use the room that it waits for.
-TEST(Advice, AGangAsksThoughTheCellIsFull) {
+TEST(Advice, AGangRequestsAdviceInAFullCell) {
   PlacementScene Given(20);
   Given.Cell.AdviceConcurrency = 4;
   Given.Cell.OutstandingAdviceRequests = 3;
@@ -190,12 +190,12 @@
   StepSpec Gang = tasks(4, 10000, 1s);
   Gang.Gang = true;
   Given.submit(1, Gang, 100, true);
-  const auto Asked = Given.pass().AdviceRequests;
-  ASSERT_EQ(Asked.size(), 1u);
-  EXPECT_EQ(Asked[0].Workers.size(), 20u);
+  const auto Requests = Given.pass().AdviceRequests;
+  ASSERT_EQ(Requests.size(), 1u);
+  EXPECT_EQ(Requests[0].Workers.size(), 20u);
 }
 
-TEST(Placement, AsksAboutFewWorkersForAQuickCheck) {
+TEST(Placement, NamesFewWorkersInARequestForAnUrgentStep) {
   PlacementScene Given(90);
   Given.submit(0, tasks(2, 1000, 100ms), 100, true);
   const Effects Out = Given.pass();
@@ -204,13 +204,13 @@
 }
 
 // Ends a run on the worker that holds it.
-void end(PlacementScene &Given, const Effects::Start &Order, RunEnd How) {
-  Worker &On = Given.Cell.Workers.at(Order.Worker);
+void endRun(PlacementScene &Given, const Effects::Start &Order, RunEnd How) {
+  Worker &W = Given.Cell.Workers.at(Order.Worker);
   WorkerReport Report;
-  Report.Ended.push_back({On.LastEnd + 1, Order.Run, How, ""});
-  for (const auto &[Run, What] : On.Attempts)
+  Report.Ended.push_back({W.LastEnd + 1, Order.Run, How, ""});
+  for (const auto &[Run, A] : W.Attempts)
     if (!(Run == Order.Run))
-      Report.Active.push_back({Run, "", What.Percent});
+      Report.Active.push_back({Run, "", A.Percent});
   Effects Out;
   workerReported(Given.Cell, Order.Worker, Report, Given.Now, Given.Now, Out);
 }
@@ -221,28 +221,28 @@
   return Step;
 }
 
-TEST(SickWorkers, ThreeFailuresInARowSetAWorkerAside) {
+TEST(FailingWorkers, ThreeConsecutiveFailuresQuarantineAWorker) {
   PlacementScene Given(1);
   Given.submit(0, tasks(4, 1000, 100ms), 100);
   const auto Starts = Given.pass().Starts;
   ASSERT_EQ(Starts.size(), 4u);
   Given.Now += 50ms; // they fail in the middle of their work
-  end(Given, Starts[0], RunEnd::Failed);
-  end(Given, Starts[1], RunEnd::Failed);
+  endRun(Given, Starts[0], RunEnd::Failed);
+  endRun(Given, Starts[1], RunEnd::Failed);
   Given.submit(0, tasks(1, 1000, 100ms), 100);
   EXPECT_FALSE(Given.pass().Starts.empty());
-  end(Given, Starts[2], RunEnd::Failed);
+  endRun(Given, Starts[2], RunEnd::Failed);
   Given.submit(0, tasks(1, 1000, 100ms), 100);
   EXPECT_TRUE(Given.pass().Starts.empty());
 }
 
 // Its worker was silent until its lease was over, and lists the end when it can be reached again.
-TEST(SilentWorkers, WorkThatMayBeDoneIsNotStartedElsewhereAtOnce) {
+TEST(UnresponsiveWorkers, ATaskThatMayBeDoneIsNotRestartedAtOnce) {
   PlacementScene Given(2);
   Given.submit(0, tasks(1, 1000, 2000ms), 100);
   const auto First = Given.pass().Starts;
   ASSERT_EQ(First.size(), 1u);
-  const auto Lapse = [&] {
+  const auto ExpireLease = [&] {
     workerLeased(Given.Cell, First[0].Worker, Given.Now + 100ms);
     workerSilent(Given.Cell, First[0].Worker);
     Given.Now += 200ms;
@@ -251,13 +251,13 @@
     return Given.pass().Starts.size();
   };
   Given.Now += 1500ms;
-  EXPECT_EQ(Lapse(), 0u);
-  end(Given, First[0], RunEnd::Done);
+  EXPECT_EQ(ExpireLease(), 0u);
+  endRun(Given, First[0], RunEnd::Done);
   Given.Now += 5000ms;
   EXPECT_TRUE(Given.pass().Starts.empty());
 }
 
-TEST(SilentWorkers, WorkThatCannotBeDoneYetIsStartedElsewhereAtOnce) {
+TEST(UnresponsiveWorkers, ATaskThatCannotBeDoneYetIsRestartedAtOnce) {
   PlacementScene Given(2);
   Given.submit(0, tasks(1, 1000, 20000ms), 100);
   const auto First = Given.pass().Starts;
@@ -270,58 +270,58 @@
   EXPECT_EQ(Given.pass().Starts.size(), 1u);
 }
 
-TEST(SickWorkers, AFailureAtOnceSetsAWorkerAsideForASecond) {
+TEST(FailingWorkers, AnImmediateFailureQuarantinesAWorkerForASecond) {
   PlacementScene Given(1);
   Given.submit(0, tasks(1, 1000, 1000ms), 100);
   const auto Starts = Given.pass().Starts;
   ASSERT_EQ(Starts.size(), 1u);
   Given.Now += 20ms;
-  end(Given, Starts[0], RunEnd::Failed);
+  endRun(Given, Starts[0], RunEnd::Failed);
   Given.submit(0, tasks(1, 1000, 1000ms), 100);
   EXPECT_TRUE(Given.pass().Starts.empty());
   Given.Now += 1000ms;
   EXPECT_EQ(Given.pass().Starts.size(), 2u);
 }
 
-TEST(SickWorkers, ATaskThatStandsStillEverywhereSetsOneWorkerAsideOnly) {
+TEST(FailingWorkers, ATaskThatStallsEverywhereQuarantinesOneWorkerOnly) {
   PlacementScene Given(4);
   Given.submit(0, tasks(1, 1000, 2000ms), 100);
   for (int Round = 0; Round < 3; ++Round) {
     const auto Starts = Given.pass().Starts;
     ASSERT_EQ(Starts.size(), 1u) << Round;
     Effects Out;
-    WorkerReport Still;
-    Still.Active.push_back({Starts[0].Run, "", 0});
+    WorkerReport Stalled;
+    Stalled.Active.push_back({Starts[0].Run, "", 0});
     Given.Now += 3s;
-    workerReported(Given.Cell, Starts[0].Worker, Still, Given.Now, Given.Now, Out);
+    workerReported(Given.Cell, Starts[0].Worker, Stalled, Given.Now, Given.Now, Out);
     tick(Given.Cell, Given.Now, WallTime(1000s), Out);
     ASSERT_EQ(Out.Stops.size(), 1u);
-    const Worker &On = Given.Cell.Workers.at(Starts[0].Worker);
-    EXPECT_EQ(On.SetAsideUntil > Given.Now, Round == 0);
-    end(Given, Starts[0], RunEnd::Stopped);
+    const Worker &W = Given.Cell.Workers.at(Starts[0].Worker);
+    EXPECT_EQ(W.SetAsideUntil > Given.Now, Round == 0);
+    endRun(Given, Starts[0], RunEnd::Stopped);
   }
 }
 
 // A task that fails everywhere says nothing of the workers it fails on.
-TEST(SickWorkers, ATaskThatFailsAtOnceAgainIsItsOwnFault) {
+TEST(FailingWorkers, ATaskThatFailsEverywhereQuarantinesOneWorkerOnly) {
   PlacementScene Given(2);
   Given.submit(0, tasks(1, 1000, 1000ms), 100);
   const auto First = Given.pass().Starts;
   ASSERT_EQ(First.size(), 1u);
   Given.Now += 20ms;
-  end(Given, First[0], RunEnd::Failed);
+  endRun(Given, First[0], RunEnd::Failed);
   const auto Second = Given.pass().Starts;
   ASSERT_EQ(Second.size(), 1u);
   EXPECT_NE(Second[0].Worker, First[0].Worker);
   Given.Now += 20ms;
-  end(Given, Second[0], RunEnd::Failed);
+  endRun(Given, Second[0], RunEnd::Failed);
   Given.submit(0, tasks(1, 1000, 1000ms), 100);
   const auto Third = Given.pass().Starts;
   ASSERT_EQ(Third.size(), 1u);
   EXPECT_EQ(Third[0].Worker, Second[0].Worker);
 }
 
-TEST(SickWorkers, ARunThatStandsStillBetweenTwoReportsIsStopped) {
+TEST(FailingWorkers, ARunWithoutProgressBetweenTwoReportsIsStopped) {
   PlacementScene Given(1);
   Given.submit(2, tasks(1, 1000, 5000ms), 100);
   const Effects::Start Order = Given.pass().Starts.at(0);
@@ -345,7 +345,7 @@
   EXPECT_EQ(Report(), 1u);
 }
 
-TEST(Gangs, MembersOfAGangThatIsDoneAreNotStopped) {
+TEST(Gangs, MembersOfACompletedGangAreNotStoppedAtOnce) {
   PlacementScene Given(3);
   Given.submit(1, gang(3, 40000), 100);
   const auto Starts = Given.pass().Starts;
@@ -369,7 +369,7 @@
 }
 
 // Workers that are listed and not ready yet.
-void listMore(PlacementScene &Given, int Count) {
+void listWorkers(PlacementScene &Given, int Count) {
   for (int I = 0; I < Count; ++I) {
     WorkerInfo Info;
     Info.Id = "more" + std::to_string(1000 + I);
@@ -379,53 +379,53 @@
   }
 }
 
-int64_t wanted(const PlacementScene &Given) {
+int64_t countWanted(const PlacementScene &Given) {
   return std::count_if(Given.Cell.Workers.begin(), Given.Cell.Workers.end(),
                        [](const auto &Entry) { return Entry.second.Wanted; });
 }
 
-void ticks(PlacementScene &Given, int Count) {
+void runTicks(PlacementScene &Given, int Count) {
   for (int I = 0; I < Count; ++I) {
     Given.Now += 50ms;
     Effects Out;
     tick(Given.Cell, Given.Now, WallTime(1000s), Out);
     place(Given.Cell, Given.Now, Out);
-    for (auto &[Id, On] : Given.Cell.Workers)
-      if (On.Wanted && !On.Heard) {
-        On.Saved = true;
+    for (auto &[Id, W] : Given.Cell.Workers)
+      if (W.Wanted && !W.Heard) {
+        W.Saved = true;
         workerReported(Given.Cell, Id, {}, Given.Now, Given.Now, Out);
       }
   }
 }
 
-TEST(LargeFleets, SomeSpareWorkersAreMadeReady) {
+TEST(LargeFleets, SpareWorkersAreActivated) {
   PlacementScene Given(0);
-  listMore(Given, 1000);
-  ticks(Given, 40);
-  EXPECT_EQ(wanted(Given), Given.Cell.Limits.SpareWorkers);
+  listWorkers(Given, 1000);
+  runTicks(Given, 40);
+  EXPECT_EQ(countWanted(Given), Given.Cell.Limits.SpareWorkers);
 }
 
-TEST(LargeFleets, AStepWithoutAPlaceMakesMoreReady) {
+TEST(LargeFleets, AnUnplacedStepActivatesMoreWorkers) {
   PlacementScene Given(0);
-  listMore(Given, 1000);
+  listWorkers(Given, 1000);
   const JobId Job = Given.submit(1, gang(400, 60000), 100);
-  ticks(Given, 40);
-  EXPECT_GE(wanted(Given), 400);
-  EXPECT_LE(wanted(Given),
+  runTicks(Given, 40);
+  EXPECT_GE(countWanted(Given), 400);
+  EXPECT_LE(countWanted(Given),
             400 + Given.Cell.Limits.SpareWorkers + Given.Cell.Limits.MaxNewWorkersPerTick);
   EXPECT_EQ(Given.Cell.Jobs.at(Job).Rounds.at(0).Steps[0].BookedTasks, 400u);
 }
 
-TEST(LargeFleets, AStepThatFitsNowhereMakesNoneReady) {
+TEST(LargeFleets, AStepThatFitsNoWorkerActivatesNone) {
   PlacementScene Given(0);
-  listMore(Given, 1000);
+  listWorkers(Given, 1000);
   Given.submit(2, tasks(1, WorkerSize.MilliCores + 1, 100ms), 100);
-  ticks(Given, 40);
-  EXPECT_EQ(wanted(Given), Given.Cell.Limits.SpareWorkers);
+  runTicks(Given, 40);
+  EXPECT_EQ(countWanted(Given), Given.Cell.Limits.SpareWorkers);
 }
 
 // The scheduler before is alive and does not know yet that it was replaced.
-TEST(Takeover, ANewJobWaitsUntilTheWorkersHaveHeardOfTheTakeover) {
+TEST(Takeover, ANewJobWaitsForTheReportsOfThePredecessorsWorkers) {
   PlacementScene Given(1);
   WorkerInfo Used;
   Used.Id = "used";
@@ -448,7 +448,7 @@
 
 // The scheduler before started a job that was accepted after the takeover, and this one sees the
 // run before it hears of the job.
-TEST(Takeover, ARunOfAJobThatIsHeardOfLaterIsGoneBeforeAnother) {
+TEST(Takeover, ATaskWaitsUntilItsOrphanedRunHasEnded) {
   PlacementScene Given(2);
   Effects Out;
   const RunKey Early{{{1, 0, 0}, 0}, 7}; // of the next job
@@ -476,7 +476,7 @@
 }
 
 // A silent worker holds back only what may run there.
-TEST(Takeover, OldWorkWaitsForWorkersOfItsOwnServiceOnly) {
+TEST(Takeover, AnOldJobWaitsForWorkersOfItsOwnServiceOnly) {
   PlacementScene Given(1);
   auto Spec = oldJob();
   workerMayHoldRuns(Given.Cell, workerOf("silent", "other"), Given.Now + 6s);
@@ -485,7 +485,7 @@
   EXPECT_EQ(Given.pass().Starts.size(), 1u);
 }
 
-TEST(Takeover, OldWorkWaitsForASilentWorkerOfItsService) {
+TEST(Takeover, AnOldJobWaitsForAnUnresponsiveWorkerOfItsService) {
   PlacementScene Given(1);
   auto Spec = oldJob();
   workerMayHoldRuns(Given.Cell, workerOf("silent", "pool"), Given.Now + 6s);
@@ -499,7 +499,7 @@
 }
 
 // Advice on what may turn out to be running would be asked for in vain.
-TEST(Takeover, AsksForNoAdviceOnOldWorkBeforeTheWorkersHaveAnswered) {
+TEST(Takeover, RequestsNoAdviceOnAnOldJobBeforeTheWorkersReport) {
   PlacementScene Given(1);
   auto Spec = oldJob();
   Spec->Advice = AdvicePolicy{};
@@ -512,7 +512,7 @@
 }
 
 // What has left and holds nothing is let go of at once, so that no later scheduler waits for it.
-TEST(Fleet, AnIdleWorkerThatHasLeftIsLetGoOf) {
+TEST(Fleet, AnIdleUnlistedWorkerIsRemoved) {
   PlacementScene Given(2);
   Given.submit(0, tasks(1, 1000, 100ms), 100);
   const auto Starts = Given.pass().Starts;
@@ -548,14 +548,14 @@
   EXPECT_EQ(Stops.front().Worker, "w0");
 }
 
-TEST(Leaving, WorkThatWouldNotEndThereIsMovedIfItSaves) {
+TEST(Leaving, CheckpointingWorkThatWouldNotFinishIsMoved) {
   EXPECT_EQ(LeavingWorker(tasks(1, 20000, 5s, true)).pass().Stops.size(), 1u);
   EXPECT_TRUE(LeavingWorker(tasks(1, 20000, 1s, true)).pass().Stops.empty());
   EXPECT_TRUE(LeavingWorker(tasks(1, 20000, 5s, false)).pass().Stops.empty());
 }
 
 // Nothing is known of advice for a step that an earlier scheduler started.
-TEST(Leaving, AdviceIsAskedForWhatWasTakenOver) {
+TEST(Leaving, AdviceIsRequestedForAnAdoptedRun) {
   PlacementScene Given(1);
   StepSpec Lasting = tasks(1, 20000, 500ms);
   Lasting.Lasting = true;
@@ -568,15 +568,15 @@
   WorkerInfo Leaving = workerOf("w0", "pool");
   Leaving.Draining = true;
   workerListed(Given.Cell, Leaving, Given.Now);
-  const auto Asks = Given.pass().AdviceRequests;
-  ASSERT_EQ(Asks.size(), 1u);
-  EXPECT_EQ(Asks.front().Workers, std::vector<std::string>{"w1"});
+  const auto Requests = Given.pass().AdviceRequests;
+  ASSERT_EQ(Requests.size(), 1u);
+  EXPECT_EQ(Requests.front().Workers, std::vector<std::string>{"w1"});
   adviceAnswered(Given.Cell, Step, {"w1"}, {{"w1", "t"}}, 2s, Given.Now);
   Given.Now += 200ms;
   EXPECT_EQ(Given.pass().Stops.size(), 1u);
 }
 
-TEST(Leaving, AWorkerThatIsMissingInTheListLeavesToo) {
+TEST(Leaving, AnUnlistedWorkerIsTreatedAsLeaving) {
   PlacementScene Given(1);
   StepSpec Lasting = tasks(1, 20000, 500ms);
   Lasting.Lasting = true;
@@ -590,7 +590,7 @@
   EXPECT_EQ(Given.pass().Stops.size(), 1u);
 }
 
-TEST(Leaving, NothingIsStoppedWithoutAPlaceForIt) {
+TEST(Leaving, NothingIsStoppedWithoutAWorkerToMoveTo) {
   LeavingWorker Given(tasks(1, 20000, 5s, true));
   WorkerInfo Other = workerOf("w1", "pool");
   Other.Draining = true;
@@ -598,21 +598,21 @@
   EXPECT_TRUE(Given.pass().Stops.empty());
 }
 
-TEST(Leaving, NoMoreTasksAreAwayThanTheStepMayMiss) {
+TEST(Leaving, NoMoreTasksAreMovedThanTheStepMayMiss) {
   StepSpec Lasting = tasks(3, 10000, 500ms);
   Lasting.Lasting = true;
   Lasting.MayMiss = 1;
   LeavingWorker Given(Lasting);
   EXPECT_TRUE(Given.pass().Stops.empty()) << "none is at work yet";
-  for (auto &[Run, What] : Given.Cell.Workers.at("w0").Attempts)
-    What.Percent = 100;
+  for (auto &[Run, A] : Given.Cell.Workers.at("w0").Attempts)
+    A.Percent = 100;
   Given.Now += 1s;
   EXPECT_EQ(Given.pass().Stops.size(), 1u);
   Given.Now += 1s;
   EXPECT_TRUE(Given.pass().Stops.empty());
 }
 
-TEST(Cancels, ACancellationThatComesBeforeItsJobHolds) {
+TEST(Cancels, ACancellationBeforeItsJobTakesEffect) {
   PlacementScene Given(1);
   Effects Out;
   cancelJob(Given.Cell, 1, Given.Now, Out); // the id of the next job
@@ -624,7 +624,7 @@
   EXPECT_TRUE(Given.pass().Starts.empty());
 }
 
-TEST(Saves, AnEndWaitsForItsOwnSaveOnly) {
+TEST(Saves, AnEndIsAcknowledgedOnceItsOwnSaveIsDurable) {
   PlacementScene Given(1);
   const JobId First = Given.submit(0, tasks(2, 1000, 100ms), 100);
   const JobId Second = Given.submit(0, tasks(1, 1000, 100ms), 100);
@@ -639,19 +639,19 @@
     if (Order.Job->Id == First)
       Ended.Ended.push_back({Ended.Ended.size() + 1, Order.Run, RunEnd::Done, ""});
   workerReported(Given.Cell, "w0", Ended, Given.Now, Given.Now, Out);
-  const Worker &On = Given.Cell.Workers.at("w0");
+  const Worker &W = Given.Cell.Workers.at("w0");
   // The save of the first job is out when that of the second is done.
   const uint64_t Number = Given.Cell.Jobs.at(Second).PendingSave;
   EXPECT_TRUE(jobSaved(Given.Cell, Second, Number, 7, 0, WallTime(1000s)).empty());
-  EXPECT_EQ(On.ForgetThrough, 1u);
+  EXPECT_EQ(W.ForgetThrough, 1u);
   const uint64_t Other = Given.Cell.Jobs.at(First).PendingSave;
   EXPECT_EQ(jobSaved(Given.Cell, First, Other, 8, 0, WallTime(1000s)),
             std::vector<std::string>{"w0"});
-  EXPECT_EQ(On.ForgetThrough, 3u);
+  EXPECT_EQ(W.ForgetThrough, 3u);
 }
 
 // Its entry is not the word of a worker of ours: nothing is said to what may be at its address.
-TEST(Fleet, AWorkerOfAServiceThatIsNotConfiguredIsNotCalled) {
+TEST(Fleet, AWorkerOfAnUnconfiguredServiceIsNotCalled) {
   PlacementScene Given(0);
   CellConfiguration Config;
   Config.Services.push_back({"pool", false});
--- a/src/scheduler/scheduler_bench.cpp
+++ b/src/scheduler/scheduler_bench.cpp
@@ -20,8 +20,8 @@
       addWorker(I);
     Effects Out;
     finishLoading(Cell, Now, Out);
-    for (auto &[Id, On] : Cell.Workers) {
-      On.Saved = true;
+    for (auto &[Id, W] : Cell.Workers) {
+      W.Saved = true;
       workerReported(Cell, Id, {}, Now, Now, Out);
     }
   }
@@ -41,8 +41,8 @@
       Effects Out;
       Now += 2ms;
       place(Cell, Now, Out);
-      for (const Effects::AdviceRequest &Question : Out.AdviceRequests)
-        answer(Question);
+      for (const Effects::AdviceRequest &Request : Out.AdviceRequests)
+        answer(Request);
       for (const Effects::Start &Order : Out.Starts)
         startAnswered(Cell, Order.Worker, Order.Run, StartResult::Started, Now, Out);
     }
@@ -83,13 +83,13 @@
     addJob(Cell, Spec, LastJob, true, Now);
   }
 
-  void answer(const Effects::AdviceRequest &Question) {
-    const double Share = Question.Priority == 0 ? 0.7 : Question.Priority == 1 ? 0.25 : 0.45;
-    std::vector<std::pair<std::string, std::string>> Good;
-    for (const std::string &Worker : Question.Workers)
+  void answer(const Effects::AdviceRequest &Request) {
+    const double Share = Request.Priority == 0 ? 0.7 : Request.Priority == 1 ? 0.25 : 0.45;
+    std::vector<std::pair<std::string, std::string>> Permitted;
+    for (const std::string &Worker : Request.Workers)
       if (std::uniform_real_distribution<>(0, 1)(Random) < Share)
-        Good.emplace_back(Worker, "ticket-of-some-length-" + std::to_string(Random()));
-    adviceAnswered(Cell, Question.Step, Question.Workers, Good, 1000000ms, Now);
+        Permitted.emplace_back(Worker, "ticket-of-some-length-" + std::to_string(Random()));
+    adviceAnswered(Cell, Request.Step, Request.Workers, Permitted, 1000000ms, Now);
   }
 
   std::mt19937_64 Random{7};
@@ -97,15 +97,15 @@
 };
 
 // Between two passes on a busy box.
-constexpr auto PassEvery = 10ms;
+constexpr auto PassInterval = 10ms;
 
 void placePass(benchmark::State &State) {
-  FullCell Of(static_cast<int>(State.range(0)));
-  Of.fill(static_cast<size_t>(State.range(1)));
+  FullCell Full(static_cast<int>(State.range(0)));
+  Full.fill(static_cast<size_t>(State.range(1)));
   for (auto _ : State) {
     Effects Out;
-    Of.Now += PassEvery;
-    place(Of.Cell, Of.Now, Out);
+    Full.Now += PassInterval;
+    place(Full.Cell, Full.Now, Out);
     benchmark::DoNotOptimize(Out);
   }
 }
@@ -121,12 +121,12 @@
     ->Unit(benchmark::kMicrosecond);
 
 void tickOnce(benchmark::State &State) {
-  FullCell Of(static_cast<int>(State.range(0)));
-  Of.fill(50);
+  FullCell Full(static_cast<int>(State.range(0)));
+  Full.fill(50);
   for (auto _ : State) {
     Effects Out;
-    Of.Now += std::chrono::microseconds(1);
-    tick(Of.Cell, Of.Now, WallTime(1000s), Out);
+    Full.Now += std::chrono::microseconds(1);
+    tick(Full.Cell, Full.Now, WallTime(1000s), Out);
     benchmark::DoNotOptimize(Out);
   }
 }
