--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -69,8 +69,8 @@
   uint32_t SureCrashes = 2;  ///< So many of them have to be sure; operators ask for two.
   uint32_t MaxDoubtful = 4;  ///< Without that; operators allow five starts.
   uint32_t MaxInherited = 5; ///< With a last start of which nobody is left to tell how it went.
-  uint32_t MaxLosses = 5;    ///< The same for `TaskState::Losses`: a sound task that runs beside
-                             ///< others is on a worker that crashes often enough.
+  uint32_t MaxLosses = 5;    ///< The same for `TaskState::WeightedCrashes`: a sound task that runs
+                          ///< beside others is on a worker that crashes often enough.
   Milliseconds BeginTime{500}; ///< So long after its start a run counts as beginning.
 };
 
@@ -172,25 +172,29 @@
 
 struct TaskState {
   bool Done = false;
-  Worker *At = nullptr; ///< Where its attempt is; null: none.
-  uint32_t Run = 0;     ///< The run of its attempt, or the last one.
+  Worker *AssignedWorker = nullptr; ///< Where its attempt is; null: none.
+  uint32_t Run = 0;                 ///< The run of its attempt, or the last one.
   std::string Checkpoint;
   std::set<uint32_t> FailedRuns;
-  bool MayRunElsewhere = false; ///< An earlier scheduler may have it on a worker not heard yet.
-  bool MayRunMeanwhile = false; ///< The scheduler before may still start it where nobody has
-                                ///< heard of this one yet.
+  bool MayRunOnUnreportedWorker =
+      false; ///< An earlier scheduler may have it on a worker not heard yet.
+  bool MayBeStartedByPredecessor = false; ///< The scheduler before may still start it where nobody
+                                          ///< has heard of this one yet.
   TimePoint NotBefore{};
-  uint32_t Crashes = 0; ///< Workers in a row that crashed, or fell silent for good, as it began.
-  std::vector<std::string> Doubted;  ///< Of them, those that may not have crashed under it,
-  std::vector<std::string> Vanished; ///< and those that have left the list without a word, and
-                                     ///< count as crashed unless they are heard again.
-  uint32_t Losses = 0;    ///< Workers in a row that crashed while they held it; those that held
-                          ///< nothing else count twice.
-  std::string TrialOn;    ///< While `Crashes` is above 0: the worker where it may have been started
-                          ///< since, which may crash of it; or empty.
-  std::string Inherited;  ///< Of `Doubted`, the `TrialOn` of an earlier scheduler; or empty.
-  uint64_t CrashSave = 0; ///< The save of these that has to be durable before it is started again.
-  bool HasStoodStill = false;       ///< A run of it was stopped because it made no progress.
+  uint32_t StartupCrashes =
+      0; ///< Workers in a row that crashed, or fell silent for good, as it began.
+  std::vector<std::string> SuspectWorkers;  ///< Of them, those that may not have crashed under it,
+  std::vector<std::string> VanishedWorkers; ///< and those that have left the list without a word,
+                                            ///< and count as crashed unless they are heard again.
+  uint32_t WeightedCrashes = 0; ///< Workers in a row that crashed while they held it; those that
+                                ///< held nothing else count twice.
+  std::string PendingStartWorker; ///< While `StartupCrashes` is above 0: the worker where it may
+                                  ///< have been started since, which may crash of it; or empty.
+  std::string InheritedStartWorker; ///< Of `SuspectWorkers`, the `PendingStartWorker` of an earlier
+                                    ///< scheduler; or empty.
+  uint64_t CrashCountSave =
+      0;                   ///< The save of these that has to be durable before it is started again.
+  bool HasStalled = false; ///< A run of it was stopped because it made no progress.
   const Worker *FailedOn = nullptr; ///< Compared only.
   TimePoint FailedAt{};             ///< Its last failure.
 };
@@ -253,10 +257,10 @@
   uint64_t NeedsSave = 0; ///< Number of the newest save it needs; 0: saved.
 };
 
-/// A worker that is counted in `TaskState::Crashes` and may be alive. It is kept when the worker is
-/// dropped: what was cut off may be heard again.
-struct DoubtedWorker {
-  TimePoint Since{}; ///< When it was counted last.
+/// A worker that is counted in `TaskState::StartupCrashes` and may be alive. It is kept when the
+/// worker is dropped: what was cut off may be heard again.
+struct SuspectWorker {
+  TimePoint LastSuspectedAt{}; ///< When it was counted last.
   std::set<TaskKey> Tasks;
 };
 
@@ -292,7 +296,7 @@
                                               ///< with their services.
   /// By id. Invariant: a task is named here exactly if it names the worker in `Doubted` or
   /// `Vanished`.
-  std::map<std::string, DoubtedWorker> Doubted;
+  std::map<std::string, SuspectWorker> Doubted;
   std::set<RunKey> Strays; ///< Runs on workers whose job was not known when they were seen.
   bool Loaded = false;     ///< The store was read; nothing is placed before.
   uint64_t LastSave = 0;
@@ -360,7 +364,7 @@
     LifeEnd How = LifeEnd::Lapsed;
     Milliseconds Ran{0};  ///< From the order, or its answer, to when the worker was last heard.
     uint32_t Crashes = 0; ///< Of the task, as in `TaskState`.
-    uint32_t Doubts = 0;  ///< The size of `TaskState::Doubted`.
+    uint32_t Doubts = 0;  ///< The size of `TaskState::SuspectWorkers`.
     uint32_t Losses = 0;
   };
   /// For the log: a task that is given up with its job, because it crashes its workers.
@@ -370,7 +374,7 @@
     uint32_t Doubts = 0;
     uint32_t Losses = 0;
   };
-  /// For the log: a change of `TaskState::Crashes`.
+  /// For the log: a change of `TaskState::StartupCrashes`.
   struct CrashCount {
     TaskKey Task;
     std::string Worker; ///< That the change is about; empty: the task has stood its beginning.
--- a/src/records/cell_records.cpp
+++ b/src/records/cell_records.cpp
@@ -78,7 +78,7 @@
   const std::set<uint32_t> &Failures =
       Step.Spec->Gang && First ? Step.GangFailures : Task.FailedRuns;
   const bool KeepsCheckpoint = !Task.Done && !Task.Checkpoint.empty();
-  const bool WasLost = !Task.Done && (Task.Crashes > 0 || Task.Losses > 0);
+  const bool WasLost = !Task.Done && (Task.StartupCrashes > 0 || Task.WeightedCrashes > 0);
   if (Failures.empty() && !KeepsCheckpoint && !WasLost)
     return;
   cell::TaskNote &Note = *To.add_note();
@@ -88,15 +88,15 @@
   if (KeepsCheckpoint)
     Note.set_checkpoint(Task.Checkpoint);
   if (WasLost) {
-    Note.set_crashes(Task.Crashes);
-    Note.set_doubts(static_cast<uint32_t>(Task.Doubted.size()));
-    for (const std::string &Worker : Task.Doubted)
+    Note.set_crashes(Task.StartupCrashes);
+    Note.set_doubts(static_cast<uint32_t>(Task.SuspectWorkers.size()));
+    for (const std::string &Worker : Task.SuspectWorkers)
       Note.add_doubted(Worker);
-    for (const std::string &Worker : Task.Vanished)
+    for (const std::string &Worker : Task.VanishedWorkers)
       Note.add_vanished(Worker);
-    Note.set_may_begin(!Task.TrialOn.empty());
-    Note.set_trial_on(Task.TrialOn);
-    Note.set_losses(Task.Losses);
+    Note.set_may_begin(!Task.PendingStartWorker.empty());
+    Note.set_trial_on(Task.PendingStartWorker);
+    Note.set_losses(Task.WeightedCrashes);
   }
 }
 
--- a/src/records/explain.cpp
+++ b/src/records/explain.cpp
@@ -15,16 +15,16 @@
   json::object Text{{"task", Index}, {"done", Task.Done}};
   if (!Task.FailedRuns.empty())
     Text["failed_runs"] = Task.FailedRuns.size();
-  if (Task.Crashes > 0 || Task.Losses > 0) {
-    Text["crashes_of_workers_as_it_began"] = Task.Crashes;
-    Text["crashes_of_workers_under_it"] = Task.Losses;
+  if (Task.StartupCrashes > 0 || Task.WeightedCrashes > 0) {
+    Text["crashes_of_workers_as_it_began"] = Task.StartupCrashes;
+    Text["crashes_of_workers_under_it"] = Task.WeightedCrashes;
   }
-  if (!Task.At)
+  if (!Task.AssignedWorker)
     return Text;
-  Text["worker"] = Task.At->Info.Id;
+  Text["worker"] = Task.AssignedWorker->Info.Id;
   Text["run"] = Task.Run;
-  const auto Found = Task.At->Attempts.find({{Step.Key, Index}, Task.Run});
-  if (Found == Task.At->Attempts.end())
+  const auto Found = Task.AssignedWorker->Attempts.find({{Step.Key, Index}, Task.Run});
+  if (Found == Task.AssignedWorker->Attempts.end())
     return Text;
   Text["phase"] = PhaseNames[static_cast<int>(Found->second.Phase)];
   Text["percent"] = Found->second.Percent;
--- a/src/scheduler/advice.cpp
+++ b/src/scheduler/advice.cpp
@@ -364,8 +364,9 @@
 // the workers have answered would hold up those that need it.
 bool mayAsk(const Pass &In, const Job &Of, const StepState &Step) {
   return In.Asked.count(Of.Spec->Service) == 0 ||
-         std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
-                     [](const TaskState &Task) { return !Task.At && !Task.MayRunElsewhere; });
+         std::any_of(Step.Tasks.begin(), Step.Tasks.end(), [](const TaskState &Task) {
+           return !Task.AssignedWorker && !Task.MayRunOnUnreportedWorker;
+         });
 }
 
 const AdviceState::Permit *permitOn(const StepState &Step, const Worker &On) {
--- a/src/scheduler/crash_count.cpp
+++ b/src/scheduler/crash_count.cpp
@@ -28,18 +28,20 @@
   const std::string_view Why = Change(*Task);
   if (Why.empty())
     return;
-  if (Task->TrialOn == Worker || Task->Crashes == 0)
-    Task->TrialOn.clear();
-  if (Task->Inherited == Worker)
-    Task->Inherited.clear();
+  if (Task->PendingStartWorker == Worker || Task->StartupCrashes == 0)
+    Task->PendingStartWorker.clear();
+  if (Task->InheritedStartWorker == Worker)
+    Task->InheritedStartWorker.clear();
   needSave(Cell, *Of, Out);
-  Task->CrashSave = Of->NeedsSave;
-  Out.CrashCounts.push_back({Key, Worker, Why, Task->Crashes, doubtsOf(*Task)});
+  Task->CrashCountSave = Of->NeedsSave;
+  Out.CrashCounts.push_back({Key, Worker, Why, Task->StartupCrashes, doubtsOf(*Task)});
 }
 
 // One silence alone may be a cut link. Work that a cut worker had just begun is not held back for
 // it where the store can't be written.
-bool isSuspect(const TaskState &Task) { return Task.Crashes > 1 || doubtsOf(Task) < Task.Crashes; }
+bool isSuspect(const TaskState &Task) {
+  return Task.StartupCrashes > 1 || doubtsOf(Task) < Task.StartupCrashes;
+}
 
 } // namespace
 
@@ -48,26 +50,28 @@
   return Step && Key.Index < Step->Tasks.size() ? &Step->Tasks[Key.Index] : nullptr;
 }
 
-uint32_t doubtsOf(const TaskState &Task) { return static_cast<uint32_t>(Task.Doubted.size()); }
+uint32_t doubtsOf(const TaskState &Task) {
+  return static_cast<uint32_t>(Task.SuspectWorkers.size());
+}
 
 bool counts(const TaskState &Task, const Worker &On) {
   const auto Names = [&](const std::vector<std::string> &Workers) {
     return std::find(Workers.begin(), Workers.end(), On.Info.Id) != Workers.end();
   };
-  return Names(Task.Doubted) || Names(Task.Vanished);
+  return Names(Task.SuspectWorkers) || Names(Task.VanishedWorkers);
 }
 
 void noteDoubted(CellState &Cell, const TaskKey &Key, const std::string &Worker, TimePoint Now) {
-  DoubtedWorker &Doubted = Cell.Doubted[Worker];
-  Doubted.Since = std::max(Doubted.Since, Now);
+  SuspectWorker &Doubted = Cell.Doubted[Worker];
+  Doubted.LastSuspectedAt = std::max(Doubted.LastSuspectedAt, Now);
   Doubted.Tasks.insert(Key);
 }
 
 void doubt(CellState &Cell, const TaskKey &Key, const Worker &On, TimePoint Now, Effects &Out) {
   const std::string &Id = On.Info.Id;
   changeCount(Cell, Key, Id, Out, [&](TaskState &Task) {
-    ++Task.Crashes;
-    Task.Doubted.push_back(Id);
+    ++Task.StartupCrashes;
+    Task.SuspectWorkers.push_back(Id);
     noteDoubted(Cell, Key, Id, Now);
     return "silent";
   });
@@ -77,13 +81,13 @@
              Effects &Out) {
   const std::string &Id = On.Info.Id;
   changeCount(Cell, Key, Id, Out, [&](TaskState &Task) {
-    if (std::erase(Task.Doubted, Id) == 0)
-      ++Task.Crashes;
+    if (std::erase(Task.SuspectWorkers, Id) == 0)
+      ++Task.StartupCrashes;
     if (How == LifeEnd::Replaced) {
       undoubt(Cell, Key, Id);
       return "crashed";
     }
-    Task.Vanished.push_back(Id);
+    Task.VanishedWorkers.push_back(Id);
     noteDoubted(Cell, Key, Id, Now);
     return "vanished";
   });
@@ -91,9 +95,9 @@
 
 void takeBack(CellState &Cell, const TaskKey &Key, const std::string &Worker, Effects &Out) {
   changeCount(Cell, Key, Worker, Out, [&](TaskState &Task) -> std::string_view {
-    if (std::erase(Task.Doubted, Worker) + std::erase(Task.Vanished, Worker) == 0)
+    if (std::erase(Task.SuspectWorkers, Worker) + std::erase(Task.VanishedWorkers, Worker) == 0)
       return {};
-    --Task.Crashes;
+    --Task.StartupCrashes;
     undoubt(Cell, Key, Worker);
     return "heard";
   });
@@ -101,15 +105,15 @@
 
 void clearCount(CellState &Cell, const TaskKey &Key, Effects &Out) {
   const TaskState *Task = findTask(Cell, Key);
-  if (!Task || Task->Crashes == 0)
+  if (!Task || Task->StartupCrashes == 0)
     return;
   changeCount(Cell, Key, "", Out, [&](TaskState &Counted) {
-    for (const std::string &Worker : std::exchange(Counted.Doubted, {}))
+    for (const std::string &Worker : std::exchange(Counted.SuspectWorkers, {}))
       undoubt(Cell, Key, Worker);
-    for (const std::string &Worker : std::exchange(Counted.Vanished, {}))
+    for (const std::string &Worker : std::exchange(Counted.VanishedWorkers, {}))
       undoubt(Cell, Key, Worker);
-    Counted.Crashes = 0;
-    Counted.Inherited.clear();
+    Counted.StartupCrashes = 0;
+    Counted.InheritedStartWorker.clear();
     return "stands";
   });
 }
@@ -118,27 +122,27 @@
   for (const auto &[Number, Round] : Of.Rounds)
     for (const StepState &Step : Round.Steps)
       for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-        for (const auto *Workers : {&Step.Tasks[I].Doubted, &Step.Tasks[I].Vanished})
+        for (const auto *Workers : {&Step.Tasks[I].SuspectWorkers, &Step.Tasks[I].VanishedWorkers})
           for (const std::string &Worker : *Workers)
             undoubt(Cell, {Step.Key, I}, Worker);
 }
 
 void noteTrial(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
   TaskState *Task = findTask(Cell, Key);
-  Task->Inherited.clear();
-  if (Task->Crashes == 0 || Task->TrialOn == On.Info.Id)
+  Task->InheritedStartWorker.clear();
+  if (Task->StartupCrashes == 0 || Task->PendingStartWorker == On.Info.Id)
     return;
-  Task->TrialOn = On.Info.Id;
+  Task->PendingStartWorker = On.Info.Id;
   Job &Of = Cell.Jobs.at(Key.Step.Job);
   needSave(Cell, Of, Out);
-  Task->CrashSave = Of.NeedsSave;
+  Task->CrashCountSave = Of.NeedsSave;
 }
 
 void settleTrial(CellState &Cell, const TaskKey &Key, Effects &Out) {
   TaskState *Task = findTask(Cell, Key);
-  if (!Task || Task->TrialOn.empty())
+  if (!Task || Task->PendingStartWorker.empty())
     return;
-  Task->TrialOn.clear();
+  Task->PendingStartWorker.clear();
   if (Job &Of = Cell.Jobs.at(Key.Step.Job); Of.Phase == JobPhase::Live)
     needSave(Cell, Of, Out);
 }
@@ -154,13 +158,13 @@
 }
 
 bool waitsForCrashSave(const CellState &Cell, const TaskState &Task) {
-  return isSuspect(Task) && Cell.Saves.count(Task.CrashSave) > 0;
+  return isSuspect(Task) && Cell.Saves.count(Task.CrashCountSave) > 0;
 }
 
 void settleInherited(CellState &Cell, const TaskKey &Key, Effects &Out) {
   const TaskState *Task = findTask(Cell, Key);
-  if (Task && !Task->Inherited.empty())
-    takeBack(Cell, Key, std::string(Task->Inherited), Out);
+  if (Task && !Task->InheritedStartWorker.empty())
+    takeBack(Cell, Key, std::string(Task->InheritedStartWorker), Out);
 }
 
 } // namespace valveshelf::sched
--- a/src/scheduler/crash_count.h
+++ b/src/scheduler/crash_count.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// How many workers in a row may have crashed as a task began: `TaskState::Crashes` and what belongs
-// to it, each change with its save and its line for the log. What a silence or a loss means for the
-// count is decided in crashes.h. Only the files of this folder include it.
+// How many workers in a row may have crashed as a task began: `TaskState::StartupCrashes` and what
+// belongs to it, each change with its save and its line for the log. What a silence or a loss means
+// for the count is decided in crashes.h. Only the files of this folder include it.
 #pragma once
 
 #include "valveshelf/cell_state.h"
--- a/src/scheduler/crash_count_test.cpp
+++ b/src/scheduler/crash_count_test.cpp
@@ -14,7 +14,7 @@
   const JobId Id = Given.submit(tasks(1, 4000, 60s));
   EXPECT_TRUE(Given.passUntilRuns(Id));
   Given.crash(Given.at(Id), 1s);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   return Id;
 }
 
@@ -33,12 +33,12 @@
   Given.fallSilent("w0");
   Given.fallSilent("w1"); // so that it can't stand its beginning elsewhere
   Given.pass(8s);
-  ASSERT_EQ(Given.taskOf(Id).Crashes, 1u);
-  ASSERT_EQ(Given.taskOf(Id).At, nullptr) << "the lease is over";
+  ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
+  ASSERT_EQ(Given.taskOf(Id).AssignedWorker, nullptr) << "the lease is over";
   Given.Here[Where].clear();
   Given.Silent.erase(Where);
   Given.report(Where);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 0u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
 }
 
 // The same with a worker whose entry had lapsed, so that it was dropped: a cut link to the store.
@@ -50,11 +50,11 @@
   workerUnlisted(Given.Cell, "w0", Given.Now);
   Given.pass(8s);
   ASSERT_EQ(Given.Cell.Workers.count("w0"), 0u);
-  ASSERT_EQ(Given.taskOf(Id).Crashes, 1u);
+  ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   Given.Here["w0"].clear();
   Given.Silent.clear();
   Given.addWorker("w0", 9000);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 0u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
 }
 
 // Another life at the address is no word of the first.
@@ -67,7 +67,7 @@
   Given.pass(8s);
   Given.forget("w0");
   Given.addWorker("w0+", 9000);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
 
 // The doubt is older than the scheduler that hears the worker.
@@ -77,13 +77,13 @@
   ASSERT_TRUE(Given.passUntilRuns(Id));
   Given.fallSilent("w0");
   Given.pass(8s);
-  ASSERT_EQ(Given.taskOf(Id).Crashes, 1u);
+  ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   Given.Here["w0"].clear();
   Given.takeOver();
-  ASSERT_EQ(Given.taskOf(Id).Crashes, 1u);
+  ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   Given.Silent.clear();
   Given.report("w0");
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 0u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
 }
 
 // Records of a version that kept no names: as many doubts, which nothing takes back.
@@ -109,14 +109,14 @@
   Given.fallSilent("w0");
   workerUnlisted(Given.Cell, "w0", Given.Now);
   Given.pass(8s);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
-  EXPECT_EQ(Given.taskOf(Id).Doubted.size(), 0u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
+  EXPECT_EQ(Given.taskOf(Id).SuspectWorkers.size(), 0u);
   Given.takeOver();
-  EXPECT_EQ(Given.taskOf(Id).Vanished.size(), 1u) << "it is kept";
+  EXPECT_EQ(Given.taskOf(Id).VanishedWorkers.size(), 1u) << "it is kept";
   Given.Here["w0"].clear();
   Given.Silent.clear();
   Given.addWorker("w0", 9000);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 0u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
 }
 
 // The run was over when its worker crashed, which nobody had heard yet: an estimate of 100 ms, and
@@ -128,8 +128,8 @@
   Given.Silent.insert("w0");
   Given.pass(200ms);
   Given.crash("w0", 1s);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
-  EXPECT_EQ(Given.taskOf(Id).Doubted.size(), 1u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
+  EXPECT_EQ(Given.taskOf(Id).SuspectWorkers.size(), 1u);
 }
 
 // The order met another life at the address: it began nothing.
@@ -142,7 +142,7 @@
   Effects Out;
   startAnswered(Given.Cell, "w0", Given.Started[0].Run, StartResult::OtherLife, Given.Now, Out);
   EXPECT_EQ(Given.Cell.Workers.count("w0"), 0u);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 0u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
 }
 
 // The other cause: each scheduler counted a start that the one before had ordered, though that one
@@ -154,7 +154,7 @@
 TEST(Crashes, AStartThatWasRefusedIsNotCountedByTheNextScheduler) {
   CrashScene Given(2);
   const JobId Id = submitCrashedOnce(Given);
-  ASSERT_EQ(Given.taskOf(Id).Crashes, 1u);
+  ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   for (int Terms = 0; Terms < 4; ++Terms) {
     for (const auto &[Worker, Port] : Given.Ports)
       Given.refuseStarts(Worker);
@@ -163,7 +163,7 @@
     ASSERT_GT(Given.startsOf(Id), Before);
     Given.takeOver();
     ASSERT_NE(shownState(Given.Cell, Id), "failed") << "one worker has crashed under it";
-    EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
+    EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   }
 }
 
@@ -175,7 +175,7 @@
   Given.breakRuns(Given.at(Id));
   Given.save();
   Given.takeOver();
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
 
 // A worker that comes back says nothing of the start that is under way on another.
@@ -189,13 +189,13 @@
   for (Milliseconds T{0}; T < 9s && !RunsElsewhere(); T += 10ms)
     Given.pass(10ms); // until its lease is over
   ASSERT_TRUE(RunsElsewhere());
-  ASSERT_EQ(Given.taskOf(Id).Crashes, 2u);
-  ASSERT_EQ(Given.taskOf(Id).TrialOn, Given.at(Id));
+  ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 2u);
+  ASSERT_EQ(Given.taskOf(Id).PendingStartWorker, Given.at(Id));
   Given.Here[Cut].clear();
   Given.Silent.erase(Cut);
   Given.report(Cut);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
-  EXPECT_EQ(Given.taskOf(Id).TrialOn, Given.at(Id));
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
+  EXPECT_EQ(Given.taskOf(Id).PendingStartWorker, Given.at(Id));
 }
 
 // It was refused by a worker that the next scheduler hears: no order of the one before can begin
@@ -206,7 +206,7 @@
   ASSERT_TRUE(Given.passUntilRuns(Id));
   Given.Here[Given.at(Id)].clear(); // the order was lost, which this scheduler never learns
   Given.takeOver();
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
 
 } // namespace
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -20,7 +20,8 @@
 // No run is over sooner, while a task that crashes its worker does it at once and is noticed then,
 // where connections end.
 constexpr Milliseconds ShortestRun{40};
-// What a crash counts in `TaskState::Losses`: who else than the only run there should be to blame.
+// What a crash counts in `TaskState::WeightedCrashes`: who else than the only run there should be
+// to blame.
 constexpr uint32_t LossBesideOthers = 1;
 constexpr uint32_t LossAlone = 2;
 
@@ -36,11 +37,11 @@
 }
 
 bool crashesWorkers(const SchedulerLimits &Limits, const TaskState &Task, bool Lasts) {
-  const uint32_t Seen = Task.Crashes - (Task.Inherited.empty() ? 0 : 1);
+  const uint32_t Seen = Task.StartupCrashes - (Task.InheritedStartWorker.empty() ? 0 : 1);
   const bool IsSure =
-      Seen >= Limits.MaxCrashes && Task.Crashes - doubtsOf(Task) >= Limits.SureCrashes;
-  const bool Starts = Seen >= Limits.MaxDoubtful || Task.Crashes >= Limits.MaxInherited;
-  return IsSure || Starts || (!Lasts && Task.Losses >= Limits.MaxLosses);
+      Seen >= Limits.MaxCrashes && Task.StartupCrashes - doubtsOf(Task) >= Limits.SureCrashes;
+  const bool Starts = Seen >= Limits.MaxDoubtful || Task.StartupCrashes >= Limits.MaxInherited;
+  return IsSure || Starts || (!Lasts && Task.WeightedCrashes >= Limits.MaxLosses);
 }
 
 // Without this a task that crashes its workers takes one after the other, and all that runs there,
@@ -51,7 +52,7 @@
   if (!Of || Task->Done || Of->Phase != JobPhase::Live ||
       !crashesWorkers(Cell.Limits, *Task, findStep(Cell, Key.Step)->Spec->Lasting))
     return;
-  Out.TasksGivenUp.push_back({Key, Task->Crashes, doubtsOf(*Task), Task->Losses});
+  Out.TasksGivenUp.push_back({Key, Task->StartupCrashes, doubtsOf(*Task), Task->WeightedCrashes});
   endJob(Cell, *Of, JobPhase::Failed, "a task of it crashes its workers", Now, Out);
 }
 
@@ -62,8 +63,8 @@
     return;
   const TimePoint Began = What.StartedAt == TimePoint{} ? What.Since : What.StartedAt;
   const auto Ran = std::chrono::duration_cast<Milliseconds>(On.ReportedAt - Began);
-  Out.Losses.push_back({Run, On.Info.Id, How, std::max(Ran, Milliseconds(0)), Task->Crashes,
-                        doubtsOf(*Task), Task->Losses});
+  Out.Losses.push_back({Run, On.Info.Id, How, std::max(Ran, Milliseconds(0)), Task->StartupCrashes,
+                        doubtsOf(*Task), Task->WeightedCrashes});
 }
 
 // True if the run, of which nothing was heard since, may have been done by then.
@@ -97,7 +98,7 @@
   if (!Task || What.Phase == AttemptPhase::Planned)
     return;
   if (How == LifeEnd::Replaced && wasThere(On, What, Now)) // kept with the next save of its job
-    Task->Losses += Alone ? LossAlone : LossBesideOthers;
+    Task->WeightedCrashes += Alone ? LossAlone : LossBesideOthers;
   if (isBeginning(What) && wasBeginning(On, What, Now))
     confirm(Cell, Run.Task, On, How, Now, Out);
   else if (isBeginning(What) && !counts(*Task, On))
@@ -118,7 +119,7 @@
 }
 
 bool beginsApart(const StepState &Step, const TaskState &Task) {
-  return Task.Crashes > 0 && !Step.Spec->Gang;
+  return Task.StartupCrashes > 0 && !Step.Spec->Gang;
 }
 
 bool isQuiet(const Worker &On, const RunKey *Run) {
@@ -153,7 +154,7 @@
   if (Task && Task->Run == End.Run.Run)
     settleTrial(Cell, End.Run.Task, Out);
   if (Task && (End.How == RunEnd::Done || End.How == RunEnd::Failed))
-    Task->Losses = 0;
+    Task->WeightedCrashes = 0;
 }
 
 void blameBeginners(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
@@ -175,7 +176,7 @@
   On.FellSilent = false;
   On.SilentSince = {};
   const auto Found = Cell.Doubted.find(On.Info.Id);
-  if (Found == Cell.Doubted.end() || AsOf < Found->second.Since)
+  if (Found == Cell.Doubted.end() || AsOf < Found->second.LastSuspectedAt)
     return;
   for (const TaskKey &Key : std::set(Found->second.Tasks))
     takeBack(Cell, Key, On.Info.Id, Out);
@@ -224,7 +225,7 @@
     for (const auto &[Number, Round] : Of.Rounds)
       for (const StepState &Step : Round.Steps)
         for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-          if (Step.Tasks[I].Crashes > 0)
+          if (Step.Tasks[I].StartupCrashes > 0)
             Counted.push_back({Step.Key, I});
   for (const TaskKey &Key : Counted)
     giveUpIfDue(Cell, Key, Now, Out);
--- a/src/scheduler/crashes.h
+++ b/src/scheduler/crashes.h
@@ -4,7 +4,8 @@
 //
 // A task may crash each worker that begins it. What runs beside it goes down as well, so that a
 // loss alone proves nothing against a task. Three things tell them apart:
-//  - only runs that were beginning are counted, in `TaskState::Crashes`; one that has stood its
+//  - only runs that were beginning are counted, in `TaskState::StartupCrashes`; one that has stood
+//  its
 //    beginning counts as sound again;
 //  - a task that is counted begins apart from others, on a worker where nothing else is beginning;
 //  - a silence is counted at once as a doubt, so that a scheduler that ends meanwhile has saved it.
--- a/src/scheduler/crashes_test.cpp
+++ b/src/scheduler/crashes_test.cpp
@@ -116,7 +116,7 @@
     Given.crash(Given.at(Bystander));
   }
   EXPECT_EQ(Given.Cell.Jobs.at(Bystander).Phase, JobPhase::Live);
-  EXPECT_EQ(Given.Cell.Jobs.at(Bystander).Rounds.at(0).Steps[0].Tasks[0].Crashes, 0u);
+  EXPECT_EQ(Given.Cell.Jobs.at(Bystander).Rounds.at(0).Steps[0].Tasks[0].StartupCrashes, 0u);
 }
 
 // Such a task is given up as well, later: who crashed the worker is less sure.
@@ -143,7 +143,7 @@
     const std::string Where = Given.at(Id);
     Given.fallSilent(Where);
     Given.pass(8s); // its lease is over
-    EXPECT_EQ(Given.taskOf(Id).Crashes, 0u);
+    EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
     Given.Silent.erase(Where);
     Given.Here[Where].clear();
     Given.report(Where);
@@ -157,11 +157,11 @@
   ASSERT_TRUE(Given.passUntilRuns(Id));
   Given.fallSilent("w0");
   Given.pass(100ms);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   EXPECT_EQ(value(decodeProgress(Id, Given.Progress.at(Id)))[0].second[0].Crashes, 1u);
   Given.Silent.clear();
   Given.pass(200ms);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 0u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
 }
 
 TEST(Crashes, AWorkerThatSaidThatItLeavesHasNotCrashed) {
@@ -177,7 +177,7 @@
       Given.pass(200ms);
     }
     Given.crash(Where, 100ms);
-    EXPECT_EQ(Given.taskOf(Id).Crashes, 0u);
+    EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
   }
   EXPECT_EQ(Given.Cell.Jobs.at(Id).Phase, JobPhase::Live);
 }
@@ -242,7 +242,7 @@
   WorkerReport Old;
   Old.Active.push_back({*Given.Here.at(Where).begin(), "", 50});
   workerReported(Given.Cell, Where, Old, AskedAt, Given.Now, Out);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
 
 // The scheduler ends right after each order but the first, and other workers are cut off and come
@@ -316,7 +316,7 @@
   Given.pass(2s);
   Given.fallSilent(Given.at(Id));
   Given.pass(100ms);
-  EXPECT_EQ(Given.taskOf(Id).Crashes, 1u);
+  EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
 
 TEST(Crashes, ALastingTaskIsNotGivenUpForCrashesFarApart) {
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -89,7 +89,7 @@
 
 void dropPlan(Pass &In, StepState &Step) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    if (Worker *On = Step.Tasks[I].At)
+    if (Worker *On = Step.Tasks[I].AssignedWorker)
       dropPlanned(In.Cell, *On, {{Step.Key, I}, Step.Tasks[I].Run}, In.Out);
   for (TaskState &Task : Step.Tasks)
     Task.NotBefore = In.Now + PlanAgain;
@@ -99,7 +99,7 @@
 bool mayLaunchAll(Pass &In, const StepState &Step) {
   bool All = true;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    All = mayLaunch(In.Cell, {Step.Key, I}, *Step.Tasks[I].At, In.Out) && All;
+    All = mayLaunch(In.Cell, {Step.Key, I}, *Step.Tasks[I].AssignedWorker, In.Out) && All;
   return All;
 }
 
@@ -107,7 +107,7 @@
 bool launchGang(Pass &In, const Job &Of, StepState &Step) {
   std::set<Worker *> Used;
   for (const TaskState &Task : Step.Tasks)
-    Used.insert(Task.At);
+    Used.insert(Task.AssignedWorker);
   // Tickets that would run out while others are asked for are asked for with them; otherwise those
   // of a gang on many workers are never all valid together.
   const Milliseconds AskTime = askTime(In, Of, Step, Used.size());
@@ -138,7 +138,7 @@
     return false;
   }
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    Worker &On = *Step.Tasks[I].At;
+    Worker &On = *Step.Tasks[I].AssignedWorker;
     orderStart(In, Of, Step, I, On, On.Attempts.at({{Step.Key, I}, Step.GangRun}));
   }
   Step.Waits.clear();
@@ -147,16 +147,17 @@
 
 bool isPlanned(const StepState &Step) {
   const TaskState &First = Step.Tasks.front();
-  if (!First.At || Step.Booked < Step.Tasks.size())
+  if (!First.AssignedWorker || Step.Booked < Step.Tasks.size())
     return false;
-  const auto Found = First.At->Attempts.find({{Step.Key, 0}, First.Run});
-  return Found != First.At->Attempts.end() && Found->second.Phase == AttemptPhase::Planned;
+  const auto Found = First.AssignedWorker->Attempts.find({{Step.Key, 0}, First.Run});
+  return Found != First.AssignedWorker->Attempts.end() &&
+         Found->second.Phase == AttemptPhase::Planned;
 }
 
 // Members whose room is only held go when others of the plan have lost theirs with their worker.
 void dropPartialPlan(Pass &In, StepState &Step) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    Worker *On = Step.Tasks[I].At;
+    Worker *On = Step.Tasks[I].AssignedWorker;
     const RunKey Run{{Step.Key, I}, Step.Tasks[I].Run};
     if (On && On->Attempts.at(Run).Phase == AttemptPhase::Planned)
       dropPlanned(In.Cell, *On, Run, In.Out);
--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -65,7 +65,8 @@
       for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
         const Attempt *What = attemptOf(Step, I);
         if (What && What->EndsSince == TimePoint{})
-          stopAttempt(Cell, *Step.Tasks[I].At, {{Step.Key, I}, Step.Tasks[I].Run}, Why, Now, Out);
+          stopAttempt(Cell, *Step.Tasks[I].AssignedWorker, {{Step.Key, I}, Step.Tasks[I].Run}, Why,
+                      Now, Out);
       }
     }
 }
@@ -74,8 +75,9 @@
 void stopLeftOver(CellState &Cell, StepState &Step, const RunKey &Ended, TimePoint Now,
                   Effects &Out) {
   const TaskState &Task = Step.Tasks[Ended.Task.Index];
-  if (Task.At && Task.Run != Ended.Run)
-    stopAttempt(Cell, *Task.At, {Ended.Task, Task.Run}, "an earlier run is done", Now, Out);
+  if (Task.AssignedWorker && Task.Run != Ended.Run)
+    stopAttempt(Cell, *Task.AssignedWorker, {Ended.Task, Task.Run}, "an earlier run is done", Now,
+                Out);
 }
 
 void stepDone(CellState &Cell, Job &Of, RoundState &Round, TimePoint Now, Effects &Out) {
@@ -140,10 +142,10 @@
 
 Attempt *attemptOf(const StepState &Step, uint32_t Index) {
   const TaskState &Task = Step.Tasks[Index];
-  if (!Task.At)
+  if (!Task.AssignedWorker)
     return nullptr;
-  const auto Found = Task.At->Attempts.find({{Step.Key, Index}, Task.Run});
-  return Found == Task.At->Attempts.end() ? nullptr : &Found->second;
+  const auto Found = Task.AssignedWorker->Attempts.find({{Step.Key, Index}, Task.Run});
+  return Found == Task.AssignedWorker->Attempts.end() ? nullptr : &Found->second;
 }
 
 StepState *findStep(CellState &Cell, const StepKey &Key) {
@@ -191,7 +193,8 @@
   RoundState &Round = makeRound(Cell, Of, 0, Now);
   for (StepState &Step : Round.Steps)
     for (TaskState &Task : Step.Tasks)
-      (Fresh ? Task.MayRunMeanwhile : Task.MayRunElsewhere) = !Fresh || !Cell.Unheard.empty();
+      (Fresh ? Task.MayBeStartedByPredecessor : Task.MayRunOnUnreportedWorker) =
+          !Fresh || !Cell.Unheard.empty();
 }
 
 void restoreStep(CellState &Cell, const StepKey &Key, const std::vector<SavedTask> &Tasks) {
@@ -204,7 +207,7 @@
     RoundState &Round = makeRound(Cell, Of, Key.Round, Cell.WallAt);
     for (StepState &Step : Round.Steps)
       for (TaskState &Task : Step.Tasks)
-        Task.MayRunElsewhere = true;
+        Task.MayRunOnUnreportedWorker = true;
   }
   StepState *Step = findStep(Cell, Key);
   if (!Step)
@@ -218,18 +221,18 @@
       --Step->Open;
     }
     Task.Checkpoint = Saved.Checkpoint;
-    Task.Crashes = Saved.Crashes;
-    Task.Doubted = Saved.Doubted;
-    Task.Vanished = Saved.Vanished;
-    Task.Inherited = Saved.TrialOn;
+    Task.StartupCrashes = Saved.Crashes;
+    Task.SuspectWorkers = Saved.Doubted;
+    Task.VanishedWorkers = Saved.Vanished;
+    Task.InheritedStartWorker = Saved.TrialOn;
     if (!Saved.TrialOn.empty()) {
-      ++Task.Crashes;
-      Task.Doubted.push_back(Saved.TrialOn);
+      ++Task.StartupCrashes;
+      Task.SuspectWorkers.push_back(Saved.TrialOn);
     }
-    for (const auto *Workers : {&Task.Doubted, &Task.Vanished})
+    for (const auto *Workers : {&Task.SuspectWorkers, &Task.VanishedWorkers})
       for (const std::string &Worker : *Workers)
         noteDoubted(Cell, {Key, Saved.Index}, Worker, Cell.WallAt);
-    Task.Losses = Saved.Losses;
+    Task.WeightedCrashes = Saved.Losses;
     (Step->Spec->Gang ? Step->GangFailures : Task.FailedRuns)
         .insert(Saved.FailedRuns.begin(), Saved.FailedRuns.end());
   }
--- a/src/scheduler/organisations.cpp
+++ b/src/scheduler/organisations.cpp
@@ -62,8 +62,8 @@
   const bool Asked = In.Asked.count(Service) > 0;
   uint32_t Count = 0;
   for (const TaskState &Task : Step.Tasks)
-    if (!Task.Done && !Task.At &&
-        ((Task.MayRunElsewhere && Awaited) || (Task.MayRunMeanwhile && Asked)))
+    if (!Task.Done && !Task.AssignedWorker &&
+        ((Task.MayRunOnUnreportedWorker && Awaited) || (Task.MayBeStartedByPredecessor && Asked)))
       ++Count;
   return Count;
 }
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -75,9 +75,9 @@
 bool isPlaceable(const Pass &In, const Job &Of, const StepState &Step, uint32_t Index) {
   const TaskState &Task = Step.Tasks[Index];
   const std::string &Service = Of.Spec->Service;
-  const bool MayRun = (Task.MayRunElsewhere && In.Awaited.count(Service) > 0) ||
-                      (Task.MayRunMeanwhile && In.Asked.count(Service) > 0);
-  return !Task.Done && !Task.At && !MayRun && Task.NotBefore <= In.Now &&
+  const bool MayRun = (Task.MayRunOnUnreportedWorker && In.Awaited.count(Service) > 0) ||
+                      (Task.MayBeStartedByPredecessor && In.Asked.count(Service) > 0);
+  return !Task.Done && !Task.AssignedWorker && !MayRun && Task.NotBefore <= In.Now &&
          !waitsForCrashSave(In.Cell, Task) && !hasStray(In.Cell, {Step.Key, Index});
 }
 
@@ -88,7 +88,7 @@
     return;
   std::vector<std::string> NoTicket;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    Worker *On = Step.Tasks[I].At;
+    Worker *On = Step.Tasks[I].AssignedWorker;
     if (!On)
       continue;
     const RunKey Run{{Step.Key, I}, Step.Tasks[I].Run};
@@ -189,8 +189,9 @@
 
 // True if the step has a task that still has to be placed or launched.
 bool hasWork(const StepState &Step) {
-  return Step.Planned > 0 || std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
-                                         [](const TaskState &T) { return !T.Done && !T.At; });
+  return Step.Planned > 0 ||
+         std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
+                     [](const TaskState &T) { return !T.Done && !T.AssignedWorker; });
 }
 } // namespace
 
--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -116,8 +116,9 @@
 }
 
 uint32_t heldOf(const StepState &Step, const Worker &On) {
-  return static_cast<uint32_t>(std::count_if(
-      Step.Tasks.begin(), Step.Tasks.end(), [&](const TaskState &Task) { return Task.At == &On; }));
+  return static_cast<uint32_t>(
+      std::count_if(Step.Tasks.begin(), Step.Tasks.end(),
+                    [&](const TaskState &Task) { return Task.AssignedWorker == &On; }));
 }
 
 bool holdsLimit(const StepState &Step, const Worker &On) {
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -52,8 +52,8 @@
         // A gang that an earlier scheduler began in part can't be completed any more.
         const bool Partial = Step.Spec->Gang && Step.Booked > 0 && Step.Booked < Step.Open;
         for (uint32_t I = 0; Partial && I < Step.Tasks.size(); ++I)
-          if (Step.Tasks[I].At)
-            stopAttempt(Cell, *Step.Tasks[I].At, {{Step.Key, I}, Step.Tasks[I].Run},
+          if (Step.Tasks[I].AssignedWorker)
+            stopAttempt(Cell, *Step.Tasks[I].AssignedWorker, {{Step.Key, I}, Step.Tasks[I].Run},
                         "the gang is not whole", Now, Out);
         queueStep(Cell, Of, Step, Now);
       }
@@ -87,7 +87,7 @@
   }
   Job &Of = Cell.Jobs.at(Step->Key.Job);
   const TaskState &Task = Step->Tasks[Row.Run.Task.Index];
-  const bool Wanted = Of.Phase == JobPhase::Live && !Task.Done && !Task.At;
+  const bool Wanted = Of.Phase == JobPhase::Live && !Task.Done && !Task.AssignedWorker;
   if (Wanted) {
     Attempt &Taken =
         book(Cell, *Step, Row.Run.Task.Index, On, Row.Run.Run, AttemptPhase::Running, Of, Now);
@@ -202,8 +202,8 @@
 void stopGang(CellState &Cell, StepState &Step, uint32_t Run, const char *Why, TimePoint Now,
               Effects &Out) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    if (Step.Tasks[I].At && Step.Tasks[I].Run == Run)
-      stopAttempt(Cell, *Step.Tasks[I].At, {{Step.Key, I}, Run}, Why, Now, Out);
+    if (Step.Tasks[I].AssignedWorker && Step.Tasks[I].Run == Run)
+      stopAttempt(Cell, *Step.Tasks[I].AssignedWorker, {{Step.Key, I}, Run}, Why, Now, Out);
 }
 
 void refused(CellState &Cell, Worker &On, const RunKey &Run, StartResult What, TimePoint Now,
@@ -238,7 +238,7 @@
 Attempt &book(CellState &Cell, StepState &Step, uint32_t Index, Worker &On, uint32_t Run,
               AttemptPhase Phase, const Job &Of, TimePoint Now) {
   TaskState &Task = Step.Tasks[Index];
-  Task.At = &On;
+  Task.AssignedWorker = &On;
   Task.Run = Run;
   ++Step.Booked;
   Attempt &Made = On.Attempts[{{Step.Key, Index}, Run}];
@@ -298,8 +298,8 @@
     return;
   Step->Planned -= WasPlanned ? 1 : 0;
   TaskState &Task = Step->Tasks[Run.Task.Index];
-  if (Task.At == &On && Task.Run == Run.Run) {
-    Task.At = nullptr;
+  if (Task.AssignedWorker == &On && Task.Run == Run.Run) {
+    Task.AssignedWorker = nullptr;
     --Step->Booked;
   }
 }
@@ -498,7 +498,7 @@
 // says nothing of the workers; each would be set aside for four seconds in turn.
 static bool standsStillFirst(CellState &Cell, const RunKey &Run) {
   TaskState &Task = findStep(Cell, Run.Task.Step)->Tasks[Run.Task.Index];
-  return !std::exchange(Task.HasStoodStill, true);
+  return !std::exchange(Task.HasStalled, true);
 }
 
 // Runs that make no progress are stopped and go on elsewhere.
--- a/testsuite/replay/crash_scene.h
+++ b/testsuite/replay/crash_scene.h
@@ -237,7 +237,8 @@
       return "";
     const StepState &Step = Found->second.Rounds.at(0).Steps[0];
     const Attempt *What = attemptOf(Step, Index);
-    return What && What->Phase == AttemptPhase::Running ? Step.Tasks[Index].At->Info.Id : "";
+    return What && What->Phase == AttemptPhase::Running ? Step.Tasks[Index].AssignedWorker->Info.Id
+                                                        : "";
   }
 
   size_t startsOf(JobId Id) const {
