--- a/src/cell/scheduler_holds.cpp
+++ b/src/cell/scheduler_holds.cpp
@@ -52,11 +52,11 @@
 
 void SchedulerRunner::holdAll() {
   for (const auto &[Id, On] : Cell.Workers) {
-    if (!On.Wanted)
+    if (!On.IsSelected)
       continue;
     if (Held.insert(Id).second)
       spawnLater(Tools.Where, holdLoop(shared_from_this(), Id));
-    else if (!On.Heard)
+    else if (!On.HasReported)
       wakeHold(Id); // it was let go of and has come back; its loop may still rest
   }
 }
@@ -64,7 +64,7 @@
 // A held call that was lost says little of the worker, which is then asked again at once; it counts
 // as silent when a call that was to be answered at once gets no answer.
 void SchedulerRunner::holdFailed(const std::string &Id, const Error &Why, bool IsHeld) {
-  const bool Answered = Cell.Workers.at(Id).Answers;
+  const bool Answered = Cell.Workers.at(Id).IsResponsive;
   if (Answered)
     noteLoss(Losses, Id, Tools.Time.Now());
   if (IsHeld)
@@ -86,7 +86,7 @@
   Order.Timeout = Tools.Settings.Timing.HoldTimeout;
   // A worker that does not answer is only asked: an extension that may or may not arrive would put
   // off for ever the time at which its runs are surely over.
-  if (Clocks.count(Id) && Found->second.Answers) {
+  if (Clocks.count(Id) && Found->second.IsResponsive) {
     Order.Until = workerTime(Id) + Tools.Settings.Timing.WorkerLease;
     workerLeased(Cell, Id, leaseEnd(clockAge(Id)));
   }
@@ -151,8 +151,8 @@
 // True if nothing is to be told to or heard from the worker before something is started there.
 bool SchedulerRunner::restsAt(const Worker &On) const {
   const auto Known = Clocks.find(On.Info.Id);
-  return Known != Clocks.end() && On.Heard && isIdle(On) &&
-         Known->second.ForgottenThrough >= On.LastEnd &&
+  return Known != Clocks.end() && On.HasReported && isIdle(On) &&
+         Known->second.ForgottenThrough >= On.LastEndNumber &&
          Tools.Time.Now() - Known->second.BusyAt > Tools.Settings.Timing.HoldWait;
 }
 
@@ -160,7 +160,7 @@
   HoldEnd Last = HoldEnd::Answered;
   while (!Me->Stopped) {
     auto Found = Me->Cell.Workers.find(Id);
-    if (Found != Me->Cell.Workers.end() && !Found->second.Unsaved.empty()) {
+    if (Found != Me->Cell.Workers.end() && !Found->second.UnsavedEnds.empty()) {
       // Asked for again when those known are saved; without the store, now and then.
       co_await untilWoken(Me, Id, Me->unsavedPause());
       Found = Me->Cell.Workers.find(Id);
@@ -175,14 +175,14 @@
     const bool First = Clock == Me->Clocks.end();
     if (!First && !isIdle(Found->second))
       Clock->second.BusyAt = Me->Tools.Time.Now();
-    const bool Waits = !First && Last == HoldEnd::Answered && Found->second.Unsaved.empty() &&
+    const bool Waits = !First && Last == HoldEnd::Answered && Found->second.UnsavedEnds.empty() &&
                        !Me->restsAt(Found->second);
     const Milliseconds Wait = Waits ? Me->Tools.Settings.Timing.HoldWait : Milliseconds(0);
     Last = co_await Me->holdOnce(Id, Wait);
     if (Last == HoldEnd::Over)
       break;
     const Worker &After = Me->Cell.Workers.at(Id);
-    if (!After.Answers) {
+    if (!After.IsResponsive) {
       if (!After.Listed && After.Attempts.empty() && Me->Tools.Time.Now() > After.LeaseEnd)
         break;
       co_await sleepFor(RetryPause);
--- a/src/cell/scheduler_saves.cpp
+++ b/src/cell/scheduler_saves.cpp
@@ -178,7 +178,7 @@
   for (const std::string &Id : Noted) {
     Records[Id] = Revision;
     if (const auto Found = Cell.Workers.find(Id); Found != Cell.Workers.end())
-      Found->second.Saved = true;
+      Found->second.IsRecorded = true;
   }
 }
 
@@ -203,7 +203,7 @@
     Transaction What = Me->guarded();
     std::vector<std::string> Noted;
     for (const auto &[Id, On] : Me->Cell.Workers)
-      if (On.Wanted && !On.Saved && What.rows() < MaxTransactionRows) {
+      if (On.IsSelected && !On.IsRecorded && What.rows() < MaxTransactionRows) {
         What.Puts.push_back({workerKey(Id), encodeWorkerRecord(On.Info), 0, 0});
         Noted.push_back(Id);
       }
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -70,7 +70,7 @@
   uint32_t MaxDoubtful = 4;  ///< Without that; operators allow five starts.
   uint32_t MaxInherited = 5; ///< With a last start of which nobody is left to tell how it went.
   uint32_t MaxLosses = 5;    ///< The same for `TaskState::WeightedCrashes`: a sound task that runs
-                          ///< beside others is on a worker that crashes often enough.
+                             ///< beside others is on a worker that crashes often enough.
   Milliseconds BeginTime{500}; ///< So long after its start a run counts as beginning.
 };
 
@@ -119,40 +119,41 @@
   TimePoint SeenAt{};   ///< When it was surely there: its start was answered, or it was listed in a
                         ///< report asked for then.
   bool Stands = false;  ///< Its worker has lived through its beginning.
-  bool OnTrial = false; ///< It begins apart from others; it is counted in `Worker::Trials`.
+  bool OnTrial = false; ///< It begins apart from others; it is counted in `Worker::IsolatedStarts`.
 };
 
 /// One life of a worker and what is booked on it.
 /// Invariant: Booked is the sum of the needs of all attempts that are not Planned, Planned that of
-/// the others, Stoppable that of those that may be stopped; Trials counts those on trial.
+/// the others, Preemptible that of those that may be stopped; IsolatedStarts counts those on trial.
 struct Worker {
   WorkerInfo Info;
   uint32_t Slot = 0;   ///< Its number within this term, in `CellState::Slots`; never used again.
   bool Listed = false; ///< It stands in the platform's list.
-  bool Wanted = false; ///< It is to be used: noted in the store, then asked what it holds.
-  bool Heard = false;  ///< It has answered this scheduler; its attempts are known.
-  bool Answers = true; ///< The last call to it was answered.
-  bool Saved = false;  ///< The store knows that it may hold runs of ours.
-  bool Full = false;   ///< It holds a run whose size nobody knows.
+  bool IsSelected = false;    ///< It is to be used: noted in the store, then asked what it holds.
+  bool HasReported = false;   ///< It has answered this scheduler; its attempts are known.
+  bool IsResponsive = true;   ///< The last call to it was answered.
+  bool IsRecorded = false;    ///< The store knows that it may hold runs of ours.
+  bool HasUnsizedRun = false; ///< It holds a run whose size nobody knows.
   Resources Booked;
   Resources Planned;
-  Resources Stoppable; ///< The most that stopping work here could free.
-  Resources Claimed;   ///< Of its free room, what questions under way are likely to take.
+  Resources Preemptible; ///< The most that stopping work here could free.
+  Resources Claimed;     ///< Of its free room, what questions under way are likely to take.
   std::map<RunKey, Attempt> Attempts;
-  uint64_t LastEnd = 0;                              ///< Highest number of an end dealt with.
-  std::deque<std::pair<uint64_t, uint64_t>> Unsaved; ///< Number of an end, and the save it needs.
-  uint64_t ForgetThrough = 0;                        ///< Ends up to here are saved.
-  TimePoint LeaseEnd{};                              ///< By then everything on it has been killed.
-  int FailuresInARow = 0;
-  TimePoint SetAsideUntil{};
-  TimePoint ReportedAt{};  ///< When it was asked for its last report.
-  TimePoint LeavesAt{};    ///< While it drains: it does not leave before.
-  TimePoint SlowUntil{};   ///< Since it began its life not long ago.
-  bool Evacuated = false;  ///< Operators want its availability zone empty.
-  TimePoint UnlistedAt{};  ///< When it was found missing in the platform's list.
-  uint32_t Trials = 0;     ///< While there is one, nothing else begins here.
-  TimePoint SilentSince{}; ///< When a silence was first counted since it was heard; or 0.
-  bool FellSilent = false; ///< That has still to be counted against what began here.
+  uint64_t LastEndNumber = 0; ///< Highest number of an end dealt with.
+  std::deque<std::pair<uint64_t, uint64_t>>
+      UnsavedEnds;            ///< Number of an end, and the save it needs.
+  uint64_t ForgetThrough = 0; ///< Ends up to here are saved.
+  TimePoint LeaseEnd{};       ///< By then everything on it has been killed.
+  int ConsecutiveFailures = 0;
+  TimePoint QuarantinedUntil{};
+  TimePoint ReportAskedAt{};        ///< When it was asked for its last report.
+  TimePoint LeavesAt{};             ///< While it drains: it does not leave before.
+  TimePoint SlowUntil{};            ///< Since it began its life not long ago.
+  bool InEvacuatedZone = false;     ///< Operators want its availability zone empty.
+  TimePoint UnlistedAt{};           ///< When it was found missing in the platform's list.
+  uint32_t IsolatedStarts = 0;      ///< While there is one, nothing else begins here.
+  TimePoint SilentSince{};          ///< When a silence was first counted since it was heard; or 0.
+  bool HasUncountedSilence = false; ///< That has still to be counted against what began here.
 };
 
 /// What is known of advice for a step. Whether a worker is good for it never changes.
@@ -186,8 +187,8 @@
   std::vector<std::string> SuspectWorkers;  ///< Of them, those that may not have crashed under it,
   std::vector<std::string> VanishedWorkers; ///< and those that have left the list without a word,
                                             ///< and count as crashed unless they are heard again.
-  uint32_t WeightedCrashes = 0; ///< Workers in a row that crashed while they held it; those that
-                                ///< held nothing else count twice.
+  uint32_t WeightedCrashes = 0;   ///< Workers in a row that crashed while they held it; those that
+                                  ///< held nothing else count twice.
   std::string PendingStartWorker; ///< While `StartupCrashes` is above 0: the worker where it may
                                   ///< have been started since, which may crash of it; or empty.
   std::string InheritedStartWorker; ///< Of `SuspectWorkers`, the `PendingStartWorker` of an earlier
@@ -279,7 +280,7 @@
   /// By name; nodes stay where they are. One that has left the configuration keeps its maximum.
   std::map<std::string, OrganisationState> Organisations;
   std::set<std::string> Services; ///< Of the newest configuration.
-  /// Invariant: `Worker::Evacuated` is true for the workers of these zones and no others.
+  /// Invariant: `Worker::InEvacuatedZone` is true for the workers of these zones and no others.
   EvacuatedZones Evacuated;
   bool Configured = false; ///< The maxima of organisations are known.
   std::unordered_map<JobId, Job> Jobs;
--- a/src/records/explain.cpp
+++ b/src/records/explain.cpp
@@ -48,15 +48,15 @@
   for (const auto &[Id, On] : Cell.Workers) {
     if (On.Info.Service != Of.Spec->Service)
       ++OtherService;
-    else if (!On.Heard || !On.Answers)
+    else if (!On.HasReported || !On.IsResponsive)
       ++Silent;
     else if (!On.Listed || On.Info.Draining)
       ++Leaving;
-    else if (On.Evacuated)
+    else if (On.InEvacuatedZone)
       ++Evacuated;
-    else if (On.SetAsideUntil > Now)
+    else if (On.QuarantinedUntil > Now)
       ++SetAside;
-    else if (On.Trials > 0)
+    else if (On.IsolatedStarts > 0)
       ++OnTrial;
     else if (Of.Spec->Advice && !isAnswered(Step, On))
       ++NotAsked;
--- a/src/scheduler/advice.cpp
+++ b/src/scheduler/advice.cpp
@@ -60,7 +60,7 @@
   In.Cell.Starved =
       std::any_of(In.Cell.Workers.begin(), In.Cell.Workers.end(), [&](const auto &Entry) {
         const Worker &On = Entry.second;
-        return !On.Wanted && takesWork(On) && On.Info.Service == Of.Spec->Service &&
+        return !On.IsSelected && takesWork(On) && On.Info.Service == Of.Spec->Service &&
                fits(Need, On.Info.Capacity) && hasLabel(On.Info, Step.Spec->RequiredLabel);
       });
 }
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -33,7 +33,7 @@
 // A worker that said that it leaves, or that served on after it had left the list, ended as
 // planned.
 bool wasLeaving(const Worker &On) {
-  return On.Info.Draining || (!On.Listed && On.ReportedAt > On.UnlistedAt);
+  return On.Info.Draining || (!On.Listed && On.ReportAskedAt > On.UnlistedAt);
 }
 
 bool crashesWorkers(const SchedulerLimits &Limits, const TaskState &Task, bool Lasts) {
@@ -62,7 +62,7 @@
   if (What.Phase == AttemptPhase::Planned || !Task)
     return;
   const TimePoint Began = What.StartedAt == TimePoint{} ? What.Since : What.StartedAt;
-  const auto Ran = std::chrono::duration_cast<Milliseconds>(On.ReportedAt - Began);
+  const auto Ran = std::chrono::duration_cast<Milliseconds>(On.ReportAskedAt - Began);
   Out.Losses.push_back({Run, On.Info.Id, How, std::max(Ran, Milliseconds(0)), Task->StartupCrashes,
                         doubtsOf(*Task), Task->WeightedCrashes});
 }
@@ -143,7 +143,7 @@
   if (Step->Spec->Gang && What.Percent == 0)
     return;
   What.Stands = true;
-  On.Trials -= What.OnTrial ? 1 : 0;
+  On.IsolatedStarts -= What.OnTrial ? 1 : 0;
   What.OnTrial = false;
   clearCount(Cell, Run.Task, Out);
 }
@@ -158,9 +158,9 @@
 }
 
 void blameBeginners(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
-  if (!On.FellSilent)
+  if (!On.HasUncountedSilence)
     return;
-  On.FellSilent = false;
+  On.HasUncountedSilence = false;
   if (On.SilentSince == TimePoint{})
     On.SilentSince = Now;
   for (auto &[Run, What] : On.Attempts) {
@@ -173,7 +173,7 @@
 void takeBackBlame(CellState &Cell, Worker &On, TimePoint AsOf, Effects &Out) {
   if (AsOf < On.SilentSince)
     return;
-  On.FellSilent = false;
+  On.HasUncountedSilence = false;
   On.SilentSince = {};
   const auto Found = Cell.Doubted.find(On.Info.Id);
   if (Found == Cell.Doubted.end() || AsOf < Found->second.LastSuspectedAt)
@@ -232,7 +232,7 @@
 }
 
 void lookAtTrials(const CellState &Cell, const Worker &On, TimePoint Now, Effects &Out) {
-  if (On.Trials > 0 && Now - On.ReportedAt >= Cell.Limits.BeginTime)
+  if (On.IsolatedStarts > 0 && Now - On.ReportAskedAt >= Cell.Limits.BeginTime)
     Out.Looks.push_back(On.Info.Id);
 }
 
--- a/src/scheduler/crashes_test.cpp
+++ b/src/scheduler/crashes_test.cpp
@@ -88,7 +88,7 @@
   }
   Given.pass(1500ms); // they have stood their beginning: the workers are everybody's again
   for (const auto &[Id, On] : Given.Cell.Workers)
-    EXPECT_EQ(On.Trials, 0u) << Id;
+    EXPECT_EQ(On.IsolatedStarts, 0u) << Id;
 }
 
 TEST(Crashes, ATaskThatWaitsForAQuietWorkerGetsOneWhileOthersComeAllTheTime) {
--- a/src/scheduler/evacuation.cpp
+++ b/src/scheduler/evacuation.cpp
@@ -10,10 +10,10 @@
   const bool Changed = Zones.Names != Cell.Evacuated.Names;
   Cell.Evacuated = std::move(Zones);
   for (auto &[Id, On] : Cell.Workers)
-    On.Evacuated = Cell.Evacuated.Names.count(On.Info.Zone) > 0;
+    On.InEvacuatedZone = Cell.Evacuated.Names.count(On.Info.Zone) > 0;
   return Changed;
 }
 
-bool takesWork(const Worker &On) { return On.Listed && !On.Info.Draining && !On.Evacuated; }
+bool takesWork(const Worker &On) { return On.Listed && !On.Info.Draining && !On.InEvacuatedZone; }
 
 } // namespace valveshelf::sched
--- a/src/scheduler/evacuation_test.cpp
+++ b/src/scheduler/evacuation_test.cpp
@@ -23,7 +23,7 @@
   TwoZones() : PlacementScene(0) { addIn("a1", "a"); }
   void addIn(const std::string &Id, const std::string &Zone) {
     workerListed(Cell, workerIn(Id, Zone), Now);
-    Cell.Workers.at(Id).Saved = true;
+    Cell.Workers.at(Id).IsRecorded = true;
     Effects Out;
     workerReported(Cell, Id, {}, Now, Now, Out);
   }
@@ -58,7 +58,7 @@
   TwoZones Given;
   Given.empty({"a"});
   EXPECT_FALSE(evacuate(Given.Cell, {{}, 5}));
-  EXPECT_TRUE(Given.Cell.Workers.at("a1").Evacuated);
+  EXPECT_TRUE(Given.Cell.Workers.at("a1").InEvacuatedZone);
   EXPECT_FALSE(Given.empty({"a"})) << "the same once more";
 }
 
@@ -143,7 +143,7 @@
   for (int I = 0; I < 5; ++I)
     tick(Given.Cell, Given.Now, WallTime(1000s), Out);
   for (const auto &[Id, On] : Given.Cell.Workers)
-    EXPECT_EQ(On.Wanted, On.Info.Zone == "b") << Id;
+    EXPECT_EQ(On.IsSelected, On.Info.Zone == "b") << Id;
 }
 
 // A caller waits for the slowest task of a step.
@@ -152,7 +152,7 @@
   WorkerInfo Fresh = workerIn("fresh", "a");
   Fresh.SlowFor = 3s;
   workerListed(Given.Cell, Fresh, Given.Now);
-  Given.Cell.Workers.at("fresh").Saved = true;
+  Given.Cell.Workers.at("fresh").IsRecorded = true;
   Effects Out;
   workerReported(Given.Cell, "fresh", {}, Given.Now, Given.Now, Out);
   Given.submit(0, tasks(6, 10000, 1s), 100); // spread over both, if nothing speaks against it
--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -299,13 +299,13 @@
     Worker *On = Cell.Slots[Slot];
     if (!On)
       return true;
-    while (!On->Unsaved.empty() && !Cell.Saves.count(On->Unsaved.front().second)) {
-      On->ForgetThrough = On->Unsaved.front().first;
-      On->Unsaved.pop_front();
+    while (!On->UnsavedEnds.empty() && !Cell.Saves.count(On->UnsavedEnds.front().second)) {
+      On->ForgetThrough = On->UnsavedEnds.front().first;
+      On->UnsavedEnds.pop_front();
     }
-    if (On->Unsaved.empty())
+    if (On->UnsavedEnds.empty())
       Clear.push_back(On->Info.Id);
-    return On->Unsaved.empty();
+    return On->UnsavedEnds.empty();
   });
   return Clear;
 }
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -39,8 +39,8 @@
     return false;
   const Milliseconds Left = What.Estimate * (100 - What.Percent) / 100;
   // Nobody says when a zone that is emptied goes: what would take longer to move than to end stays.
-  return On.Info.Draining || !On.Evacuated ? In.Now + Left > On.LeavesAt
-                                           : Left > In.Cell.Limits.YieldMargin;
+  return On.Info.Draining || !On.InEvacuatedZone ? In.Now + Left > On.LeavesAt
+                                                 : Left > In.Cell.Limits.YieldMargin;
 }
 
 // A place for a run that is to be moved, ready to be taken. Advice and tickets that are missing are
@@ -58,7 +58,7 @@
 
 bool isLeaving(const Pass &In, const Worker &On) {
   const bool Missing = !On.Listed && In.Now - On.UnlistedAt > MissingTime;
-  return On.Heard && On.Answers && (On.Info.Draining || On.Evacuated || Missing);
+  return On.HasReported && On.IsResponsive && (On.Info.Draining || On.InEvacuatedZone || Missing);
 }
 
 void moveIfNeeded(Pass &In, Worker &On, const RunKey &Run) {
@@ -69,8 +69,8 @@
   const Job &Of = In.Cell.Jobs.at(Step->Key.Job);
   if (Of.Phase == JobPhase::Live && hasPlaceElsewhere(In, Of, *Step, Step->Tasks[Run.Task.Index]))
     stopAttempt(In.Cell, On, Run,
-                On.Evacuated ? "its availability zone is emptied" : "its worker leaves", In.Now,
-                In.Out);
+                On.InEvacuatedZone ? "its availability zone is emptied" : "its worker leaves",
+                In.Now, In.Out);
 }
 } // namespace
 
--- a/src/scheduler/organisations_test.cpp
+++ b/src/scheduler/organisations_test.cpp
@@ -44,7 +44,7 @@
         hear(Id, {});
   }
   void hear(const std::string &Id, const WorkerReport &Report) {
-    Cell.Workers.at(Id).Saved = true;
+    Cell.Workers.at(Id).IsRecorded = true;
     Effects Out;
     workerReported(Cell, Id, Report, Now, Now, Out);
   }
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -23,7 +23,7 @@
   for (const auto &[Id, Service] : Cell.Unheard) {
     In.Awaited.insert(Service);
     const auto Found = Cell.Workers.find(Id);
-    if (Found != Cell.Workers.end() && Found->second.Answers && !Found->second.Heard)
+    if (Found != Cell.Workers.end() && Found->second.IsResponsive && !Found->second.HasReported)
       In.Asked.insert(Service);
   }
   In.KeepsUrgentRoom = isUrgentRoomScarce(Cell);
--- a/src/scheduler/placement_test.cpp
+++ b/src/scheduler/placement_test.cpp
@@ -206,7 +206,7 @@
 void end(PlacementScene &Given, const Effects::Start &Order, RunEnd How) {
   Worker &On = Given.Cell.Workers.at(Order.Worker);
   WorkerReport Report;
-  Report.Ended.push_back({On.LastEnd + 1, Order.Run, How, ""});
+  Report.Ended.push_back({On.LastEndNumber + 1, Order.Run, How, ""});
   for (const auto &[Run, What] : On.Attempts)
     if (!(Run == Order.Run))
       Report.Active.push_back({Run, "", What.Percent});
@@ -296,7 +296,7 @@
     tick(Given.Cell, Given.Now, WallTime(1000s), Out);
     ASSERT_EQ(Out.Stops.size(), 1u);
     const Worker &On = Given.Cell.Workers.at(Starts[0].Worker);
-    EXPECT_EQ(On.SetAsideUntil > Given.Now, Round == 0);
+    EXPECT_EQ(On.QuarantinedUntil > Given.Now, Round == 0);
     end(Given, Starts[0], RunEnd::Stopped);
   }
 }
@@ -380,7 +380,7 @@
 
 int64_t wanted(const PlacementScene &Given) {
   return std::count_if(Given.Cell.Workers.begin(), Given.Cell.Workers.end(),
-                       [](const auto &Entry) { return Entry.second.Wanted; });
+                       [](const auto &Entry) { return Entry.second.IsSelected; });
 }
 
 void ticks(PlacementScene &Given, int Count) {
@@ -390,8 +390,8 @@
     tick(Given.Cell, Given.Now, WallTime(1000s), Out);
     place(Given.Cell, Given.Now, Out);
     for (auto &[Id, On] : Given.Cell.Workers)
-      if (On.Wanted && !On.Heard) {
-        On.Saved = true;
+      if (On.IsSelected && !On.HasReported) {
+        On.IsRecorded = true;
         workerReported(Given.Cell, Id, {}, Given.Now, Given.Now, Out);
       }
   }
@@ -663,8 +663,8 @@
   }
   Effects Out;
   tick(Given.Cell, Given.Now, WallTime(1000s), Out);
-  EXPECT_TRUE(Given.Cell.Workers.at("pool").Wanted);
-  EXPECT_FALSE(Given.Cell.Workers.at("elsewhere").Wanted);
+  EXPECT_TRUE(Given.Cell.Workers.at("pool").IsSelected);
+  EXPECT_FALSE(Given.Cell.Workers.at("elsewhere").IsSelected);
 }
 
 } // namespace
--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -24,13 +24,13 @@
 }
 
 bool isSound(const Pass &In, const Worker &On, const Job &Of, const StepState &Step) {
-  return On.Heard && On.Saved && takesWork(On) && On.Answers && !On.Full &&
-         On.SetAsideUntil <= In.Now && On.Info.Service == Of.Spec->Service &&
+  return On.HasReported && On.IsRecorded && takesWork(On) && On.IsResponsive && !On.HasUnsizedRun &&
+         On.QuarantinedUntil <= In.Now && On.Info.Service == Of.Spec->Service &&
          hasLabel(On.Info, Step.Spec->RequiredLabel);
 }
 
 bool isUsable(const Pass &In, const Worker &On, const Job &Of, const StepState &Step) {
-  return On.Trials == 0 && isSound(In, On, Of, Step);
+  return On.IsolatedStarts == 0 && isSound(In, On, Of, Step);
 }
 
 namespace {
@@ -60,7 +60,7 @@
   for (size_t I = 0; I < Count; ++I) {
     const size_t Slot = (First + I) % Count;
     const Worker *On = Cell.Slots[Slot];
-    if (!On || !On->Heard || !On->Answers || !takesWork(*On))
+    if (!On || !On->HasReported || !On->IsResponsive || !takesWork(*On))
       continue;
     const int64_t Here = timesFits(Need, On->Info.Capacity - On->Booked - On->Planned, Wanted);
     if (Here > 0 && Seats == 0)
@@ -77,7 +77,7 @@
     return *In.MostFree;
   In.MostFree.emplace();
   for (const Worker *On : In.Cell.Slots)
-    if (On && On->Heard && !On->Evacuated)
+    if (On && On->HasReported && !On->InEvacuatedZone)
       *In.MostFree =
           largest(*In.MostFree, On->Info.Capacity - On->Booked - On->Planned - On->Claimed);
   return *In.MostFree;
@@ -154,7 +154,7 @@
 
 Resources yieldable(const Pass &In, const Worker &On, int Priority) {
   Resources Sum;
-  if (On.Stoppable == Resources{})
+  if (On.Preemptible == Resources{})
     return Sum;
   for (const auto &[Run, What] : On.Attempts)
     if (canYield(In, What, Priority))
@@ -239,7 +239,7 @@
   const int Priority = Of.Spec->Priority;
   eachAdvised(In, Of, Step, [&](Worker &On) {
     const Resources Free = roomFor(In, On, Of, Step);
-    const Resources Most = Free + On.Stoppable;
+    const Resources Most = Free + On.Preemptible;
     // Most workers are passed over by this bound alone, without a look at each run there.
     if (!fits(Need, Most) || (Best && Most.MilliCores <= BestRoom))
       return;
--- a/src/scheduler/scheduler_bench.cpp
+++ b/src/scheduler/scheduler_bench.cpp
@@ -21,7 +21,7 @@
     Effects Out;
     finishLoading(Cell, Now, Out);
     for (auto &[Id, On] : Cell.Workers) {
-      On.Saved = true;
+      On.IsRecorded = true;
       workerReported(Cell, Id, {}, Now, Now, Out);
     }
   }
--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -527,7 +527,7 @@
       return;
     const auto To = Found->second;
     const Fate How = fateOf(*To);
-    const bool Extends = Of->Clocks.count(Id) && Known->second.Answers;
+    const bool Extends = Of->Clocks.count(Id) && Known->second.IsResponsive;
     std::optional<Milliseconds> Until;
     if (Extends) {
       Until = workerTime(*Of, Id) + WorkerLease;
@@ -850,7 +850,7 @@
     if (StoreTerm != Of.Cell.Fence)
       return;
     for (auto &[Id, On] : Of.Cell.Workers) {
-      On.Saved = true;
+      On.IsRecorded = true;
       Records.insert(Id);
     }
     std::erase_if(Records, [&](const std::string &Id) { return !Of.Cell.Workers.count(Id); });
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -74,7 +74,7 @@
   const bool Known = Step && Row.Run.Task.Index < Step->Tasks.size();
   if (!Known) {
     // Its job has ended, or was never ours. Its size is unknown until it is gone.
-    On.Full = true;
+    On.HasUnsizedRun = true;
     Cell.Strays.insert(Row.Run);
     Attempt &Stray = On.Attempts[Row.Run];
     Stray.Phase = AttemptPhase::Running;
@@ -147,33 +147,33 @@
 // task does not go back to where it failed (hasJustFailedOn has the figure).
 void judge(CellState &Cell, Worker &On, const EndedRun &End, TimePoint Now) {
   if (End.How == RunEnd::Done)
-    On.FailuresInARow = 0;
+    On.ConsecutiveFailures = 0;
   if (End.How != RunEnd::Failed)
     return;
   if (failedAtOnce(Cell, On, End.Run, Now))
-    On.SetAsideUntil = std::max(On.SetAsideUntil, Now + Cell.Limits.NotBackTime);
-  if (++On.FailuresInARow < Cell.Limits.MaxFailuresInARow)
+    On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + Cell.Limits.NotBackTime);
+  if (++On.ConsecutiveFailures < Cell.Limits.MaxFailuresInARow)
     return;
-  On.SetAsideUntil = Now + Cell.Limits.SetAside;
-  On.FailuresInARow = Cell.Limits.MaxFailuresInARow - 1;
+  On.QuarantinedUntil = Now + Cell.Limits.SetAside;
+  On.ConsecutiveFailures = Cell.Limits.MaxFailuresInARow - 1;
 }
 
 void readEnds(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint Now,
               Effects &Out) {
   for (const EndedRun &End : Report.Ended) {
-    if (End.Number <= On.LastEnd)
+    if (End.Number <= On.LastEndNumber)
       continue;
-    On.LastEnd = End.Number;
+    On.LastEndNumber = End.Number;
     judge(Cell, On, End, Now);
     noteListedEnd(Cell, End, Out);
     unbook(Cell, On, End.Run);
     runEnded(Cell, End.Run, End.How, End.Checkpoint, &On, Now, Out);
     const auto Of = Cell.Jobs.find(End.Run.Task.Step.Job);
     const uint64_t Save = Of == Cell.Jobs.end() ? 0 : Of->second.NeedsSave;
-    if (Save == 0 && On.Unsaved.empty()) {
+    if (Save == 0 && On.UnsavedEnds.empty()) {
       On.ForgetThrough = End.Number;
     } else {
-      On.Unsaved.emplace_back(End.Number, Save);
+      On.UnsavedEnds.emplace_back(End.Number, Save);
       Cell.WithUnsaved.insert(On.Slot);
     }
   }
@@ -213,7 +213,7 @@
       Used && What == StartResult::RefusedTicket)
     Used->ValidUntil = Now;
   if (What == StartResult::RefusedBusy || What == StartResult::NotSent)
-    On.SetAsideUntil = std::max(On.SetAsideUntil, Now + ShortPause);
+    On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + ShortPause);
   if (What == StartResult::RefusedRoom)
     Out.Looks.push_back(On.Info.Id);
   noteNotBegun(Cell, Run.Task, On, Out);
@@ -252,14 +252,14 @@
   Made.Objective = Of.Objective;
   Made.Estimate = Step.Spec->Estimate;
   Made.OnTrial = beginsApart(Step, Task);
-  On.Trials += Made.OnTrial ? 1 : 0;
+  On.IsolatedStarts += Made.OnTrial ? 1 : 0;
   Made.MayBeStopped = Step.Spec->Checkpoints && !Step.Spec->Gang && !Step.Spec->Lasting;
   Made.Phase = Phase;
   Made.Since = Now;
   const bool IsPlanned = Phase == AttemptPhase::Planned;
   (IsPlanned ? On.Planned : On.Booked) += Made.Need;
   if (Made.MayBeStopped)
-    On.Stoppable += Made.Need;
+    On.Preemptible += Made.Need;
   Step.Planned += IsPlanned ? 1 : 0;
   return Made;
 }
@@ -283,16 +283,17 @@
   const bool WasPlanned = Found->second.Phase == AttemptPhase::Planned;
   (WasPlanned ? On.Planned : On.Booked) -= Found->second.Need;
   if (Found->second.MayBeStopped)
-    On.Stoppable -= Found->second.Need;
+    On.Preemptible -= Found->second.Need;
   Cell.UrgentAttempts -= Found->second.IsUrgent ? 1 : 0;
-  On.Trials -= Found->second.OnTrial ? 1 : 0;
+  On.IsolatedStarts -= Found->second.OnTrial ? 1 : 0;
   if (Found->second.Owner)
     Found->second.Owner->Running -= Found->second.Charge;
   On.Attempts.erase(Found);
   Cell.Strays.erase(Run);
-  if (On.Full)
-    On.Full = std::any_of(On.Attempts.begin(), On.Attempts.end(),
-                          [](const auto &Entry) { return Entry.second.Need == Resources{}; });
+  if (On.HasUnsizedRun)
+    On.HasUnsizedRun = std::any_of(On.Attempts.begin(), On.Attempts.end(), [](const auto &Entry) {
+      return Entry.second.Need == Resources{};
+    });
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (!Step || Run.Task.Index >= Step->Tasks.size())
     return;
@@ -338,7 +339,7 @@
   On.Listed = true;
   On.LeavesAt = Now + Info.TimeLeft;
   On.SlowUntil = Now + Info.SlowFor;
-  On.Evacuated = Cell.Evacuated.Names.count(Info.Zone) > 0;
+  On.InEvacuatedZone = Cell.Evacuated.Names.count(Info.Zone) > 0;
   if (New)
     On.LeaseEnd = Now;
 }
@@ -355,7 +356,7 @@
   Worker &On = makeWorker(Cell, Info.Id);
   if (On.Info.Id.empty())
     On.Info = Info;
-  On.Saved = On.Wanted = true;
+  On.IsRecorded = On.IsSelected = true;
   On.LeaseEnd = std::max(On.LeaseEnd, LeaseEnd);
   Cell.Unheard.emplace(Info.Id, On.Info.Service);
 }
@@ -365,8 +366,8 @@
   Worker *On = findWorker(Cell, Id);
   if (!On)
     return;
-  On->Answers = true;
-  On->ReportedAt = std::max(On->ReportedAt, AskedAt);
+  On->IsResponsive = true;
+  On->ReportAskedAt = std::max(On->ReportAskedAt, AskedAt);
   takeBackBlame(Cell, *On, AskedAt, Out);
   readEnds(Cell, *On, Report, Now, Out);
   for (const ActiveRun &Row : Report.Active) {
@@ -377,14 +378,14 @@
       noteProgress(Cell, *On, Row, Found->second, {AskedAt, Now, Report.WorkerClock}, Out);
   }
   dropNeverBegun(Cell, *On, Report, AskedAt, Now, Out);
-  On->Heard = true;
+  On->HasReported = true;
   heard(Cell, Id, Now, Out);
 }
 
 void workerSilent(CellState &Cell, const std::string &Id) {
   if (Worker *On = findWorker(Cell, Id)) {
-    On->Answers = false;
-    On->FellSilent = true;
+    On->IsResponsive = false;
+    On->HasUncountedSilence = true;
   }
 }
 
@@ -416,7 +417,7 @@
       refused(Cell, *On, Run, What, Now, Out);
     return workerOver(Cell, Id, Now, Out);
   }
-  On->Answers = What != StartResult::Unknown && What != StartResult::NotSent;
+  On->IsResponsive = What != StartResult::Unknown && What != StartResult::NotSent;
   if (Found == On->Attempts.end())
     return;
   Attempt &Which = Found->second;
@@ -450,7 +451,7 @@
   Worker *On = findWorker(Cell, Id);
   if (!On)
     return;
-  On->Answers = Acked;
+  On->IsResponsive = Acked;
   const auto Found = On->Attempts.find(Run);
   if (Found == On->Attempts.end() || !Acked)
     return;
@@ -509,13 +510,13 @@
     const bool Watched = What.Phase == AttemptPhase::Running && Step && !Step->Spec->Lasting &&
                          What.EndsSince == TimePoint{};
     if (Watched && What.Percent < 100 &&
-        On.ReportedAt - What.PercentChanged > stuckTime(*Step->Spec))
+        On.ReportAskedAt - What.PercentChanged > stuckTime(*Step->Spec))
       Stuck.push_back(Run);
   }
   for (const RunKey &Run : Stuck) {
     stopAttempt(Cell, On, Run, "it makes no progress", Now, Out);
     if (standsStillFirst(Cell, Run))
-      On.SetAsideUntil = Now + Cell.Limits.SetAside;
+      On.QuarantinedUntil = Now + Cell.Limits.SetAside;
   }
 }
 
@@ -527,11 +528,11 @@
 // A worker that has left and is known to hold nothing. Kept, its record would make the scheduler
 // after this one wait for its lease before it places anything that was accepted earlier (6.8 s).
 static bool mayBeLetGo(const Worker &On) {
-  return !On.Listed && On.Heard && On.Attempts.empty() && On.Unsaved.empty();
+  return !On.Listed && On.HasReported && On.Attempts.empty() && On.UnsavedEnds.empty();
 }
 
 bool isIdle(const Worker &On) {
-  return On.Answers && On.Unsaved.empty() &&
+  return On.IsResponsive && On.UnsavedEnds.empty() &&
          std::all_of(On.Attempts.begin(), On.Attempts.end(),
                      [](const auto &Entry) { return Entry.second.Phase == AttemptPhase::Planned; });
 }
@@ -547,9 +548,9 @@
   uint32_t Spare = 0;
   uint32_t Coming = 0; // wanted, and not ready yet
   for (const auto &[Id, On] : Cell.Workers) {
-    const bool Usable = On.Wanted && takesWork(On);
+    const bool Usable = On.IsSelected && takesWork(On);
     Spare += Usable && On.Attempts.empty() ? 1 : 0;
-    Coming += Usable && On.Answers && (!On.Heard || !On.Saved) ? 1 : 0;
+    Coming += Usable && On.IsResponsive && (!On.HasReported || !On.IsRecorded) ? 1 : 0;
   }
   uint32_t Missing = Spare < Cell.Limits.SpareWorkers ? Cell.Limits.SpareWorkers - Spare : 0;
   if (Cell.Starved && Coming < Cell.Limits.MoreWorkers)
@@ -558,9 +559,9 @@
   Missing = std::min(Missing, Cell.Limits.MoreWorkers);
   for (auto At = Cell.Workers.begin(); At != Cell.Workers.end() && Missing > 0; ++At) {
     Worker &On = At->second;
-    if (On.Wanted || !takesWork(On) || !hasWorkFor(Cell, On.Info))
+    if (On.IsSelected || !takesWork(On) || !hasWorkFor(Cell, On.Info))
       continue;
-    On.Wanted = Out.Wants = true;
+    On.IsSelected = Out.Wants = true;
     --Missing;
   }
 }
@@ -576,14 +577,14 @@
   std::vector<std::string> Over;
   for (auto &[Id, On] : Cell.Workers) {
     blameBeginners(Cell, On, Now, Out);
-    const bool Lapsed = !On.Answers && Now > On.LeaseEnd;
+    const bool Lapsed = !On.IsResponsive && Now > On.LeaseEnd;
     if ((Lapsed && !On.Listed) || mayBeLetGo(On))
       Over.push_back(Id);
     else if (Lapsed) {
       holdBackWhatMayBeDone(Cell, On, Now);
       dropAttempts(Cell, On, LifeEnd::Lapsed, Now, Out);
       heard(Cell, Id, Now, Out);
-    } else if (On.Answers) {
+    } else if (On.IsResponsive) {
       tickStops(Cell, On, Now, Out);
       if (LookForStuck) {
         tickLeftOver(Cell, On, Now, Out);
--- a/testsuite/replay/crash_scene.h
+++ b/testsuite/replay/crash_scene.h
@@ -37,7 +37,7 @@
     Info.Draining = Draining;
     Ports[Id] = Port;
     workerListed(Cell, Info, Now);
-    Cell.Workers.at(Id).Saved = Cell.Workers.at(Id).Wanted = true;
+    Cell.Workers.at(Id).IsRecorded = Cell.Workers.at(Id).IsSelected = true;
   }
 
   void addWorker(const std::string &Id, uint16_t Port) {
--- a/testsuite/replay/load_replay.cpp
+++ b/testsuite/replay/load_replay.cpp
@@ -23,7 +23,7 @@
     Info.Service = "pool";
     Info.Capacity = Setting.WorkerSize;
     workerListed(Cell, Info, Now);
-    Cell.Workers.at(Info.Id).Saved = Cell.Workers.at(Info.Id).Wanted = true;
+    Cell.Workers.at(Info.Id).IsRecorded = Cell.Workers.at(Info.Id).IsSelected = true;
     workerReported(Cell, Info.Id, {}, Now, Now, Out);
   }
 }
--- a/testsuite/replay/placement_scene.h
+++ b/testsuite/replay/placement_scene.h
@@ -24,7 +24,7 @@
 
   void addWorker(const std::string &Id, const Resources &Size = WorkerSize) {
     sayCapacity(Id, Size);
-    Cell.Workers.at(Id).Saved = true;
+    Cell.Workers.at(Id).IsRecorded = true;
     Effects Out;
     workerReported(Cell, Id, {}, Now, Now, Out);
   }
