--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -347,29 +347,29 @@
                                   {"worker", What.Worker},
                                   {"failures", std::to_string(What.Failures)},
                                   {"allowed", std::to_string(What.MaxAttempts)}});
-  for (const Effects::Loss &What : Out.Losses) {
-    Tools.Metrics.count(metrics::RunsLost, std::string(toString(What.How)));
+  for (const Effects::LostRun &What : Out.LostRuns) {
+    Tools.Metrics.count(metrics::RunsLost, std::string(toString(What.Cause)));
     logEvent(events::RunLost, {{"task", toString(What.Run.Task)},
                                {"run", std::to_string(What.Run.Run)},
                                {"worker", What.Worker},
-                               {"how", std::string(toString(What.How))},
-                               {"ran_ms", std::to_string(What.Ran.count())},
-                               {"crashes", std::to_string(What.Crashes)},
-                               {"doubts", std::to_string(What.Doubts)},
-                               {"losses", std::to_string(What.Losses)}});
+                               {"how", std::string(toString(What.Cause))},
+                               {"ran_ms", std::to_string(What.RunTime.count())},
+                               {"crashes", std::to_string(What.StartupCrashes)},
+                               {"doubts", std::to_string(What.UnconfirmedCrashes)},
+                               {"losses", std::to_string(What.WeightedCrashes)}});
   }
-  for (const Effects::CrashCount &What : Out.CrashCounts)
+  for (const Effects::CrashCountChange &What : Out.CrashCountChanges)
     logEvent(events::CrashCounted, {{"task", toString(What.Task)},
                                     {"worker", What.Worker},
                                     {"why", std::string(What.Why)},
-                                    {"crashes", std::to_string(What.Crashes)},
-                                    {"doubts", std::to_string(What.Doubts)}});
-  for (const Effects::GivenUp &What : Out.TasksGivenUp) {
+                                    {"crashes", std::to_string(What.StartupCrashes)},
+                                    {"doubts", std::to_string(What.UnconfirmedCrashes)}});
+  for (const Effects::GivenUpTask &What : Out.TasksGivenUp) {
     Tools.Metrics.count(metrics::TasksGivenUp);
     logEvent(events::TaskGivenUp, {{"task", toString(What.Task)},
-                                   {"crashes", std::to_string(What.Crashes)},
-                                   {"doubts", std::to_string(What.Doubts)},
-                                   {"losses", std::to_string(What.Losses)}});
+                                   {"crashes", std::to_string(What.StartupCrashes)},
+                                   {"doubts", std::to_string(What.UnconfirmedCrashes)},
+                                   {"losses", std::to_string(What.WeightedCrashes)}});
   }
 }
 
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -64,14 +64,15 @@
   Milliseconds NotBackTime{1000}; ///< A task that failed goes elsewhere for so long; a worker that
                                   ///< fails everything is set aside by then.
   int MaxFailuresInARow = 3;      ///< A worker that failed so many runs in a row is set aside.
-  uint32_t MaxCrashes = 3;   ///< A task that crashed so many workers in a row as it began is given
-                             ///< up. Operators allow it from the second on.
-  uint32_t SureCrashes = 2;  ///< So many of them have to be sure; operators ask for two.
-  uint32_t MaxDoubtful = 4;  ///< Without that; operators allow five starts.
-  uint32_t MaxInherited = 5; ///< With a last start of which nobody is left to tell how it went.
-  uint32_t MaxLosses = 5;    ///< The same for `TaskState::WeightedCrashes`: a sound task that runs
-                             ///< beside others is on a worker that crashes often enough.
-  Milliseconds BeginTime{500}; ///< So long after its start a run counts as beginning.
+  uint32_t MaxStartupCrashes = 3; ///< A task that crashed so many workers in a row as it began is
+                                  ///< given up. Operators allow it from the second on.
+  uint32_t MinConfirmedCrashes = 2;   ///< So many of them have to be sure; operators ask for two.
+  uint32_t MaxUnconfirmedCrashes = 4; ///< Without that; operators allow five starts.
+  uint32_t MaxCrashesWithInherited =
+      5; ///< With a last start of which nobody is left to tell how it went.
+  uint32_t MaxWeightedCrashes = 5; ///< The same for `TaskState::WeightedCrashes`: a sound task that
+                                   ///< runs beside others is on a worker that crashes often enough.
+  Milliseconds StartupTime{500}; ///< So long after its start a run counts as beginning.
 };
 
 /// Where an attempt stands.
@@ -84,12 +85,12 @@
 };
 
 /// How a worker's runs were found to be over without its word.
-enum class LifeEnd {
-  Replaced, ///< Another life answers at its address.
-  Gone,     ///< It is off the platform's list, silent, and its lease is over.
-  Lapsed,   ///< It is listed, silent, and its lease is over; it may be heard again.
+enum class WorkerEnd {
+  Replaced,     ///< Another life answers at its address.
+  Unlisted,     ///< It is off the platform's list, silent, and its lease is over.
+  LeaseExpired, ///< It is listed, silent, and its lease is over; it may be heard again.
 };
-std::string_view toString(LifeEnd How);
+std::string_view toString(WorkerEnd How);
 
 /// Behind all priorities that a queue can have.
 inline constexpr int ExcessPriority = 1'000'000;
@@ -359,36 +360,36 @@
     int MaxAttempts = 0;
   };
   /// For the log: a run that ended with its worker, which nobody can list any more.
-  struct Loss {
+  struct LostRun {
     RunKey Run;
     std::string Worker;
-    LifeEnd How = LifeEnd::Lapsed;
-    Milliseconds Ran{0};  ///< From the order, or its answer, to when the worker was last heard.
-    uint32_t Crashes = 0; ///< Of the task, as in `TaskState`.
-    uint32_t Doubts = 0;  ///< The size of `TaskState::SuspectWorkers`.
-    uint32_t Losses = 0;
+    WorkerEnd Cause = WorkerEnd::LeaseExpired;
+    Milliseconds RunTime{0}; ///< From the order, or its answer, to when the worker was last heard.
+    uint32_t StartupCrashes = 0;     ///< Of the task, as in `TaskState`.
+    uint32_t UnconfirmedCrashes = 0; ///< The size of `TaskState::SuspectWorkers`.
+    uint32_t WeightedCrashes = 0;
   };
   /// For the log: a task that is given up with its job, because it crashes its workers.
-  struct GivenUp {
+  struct GivenUpTask {
     TaskKey Task;
-    uint32_t Crashes = 0;
-    uint32_t Doubts = 0;
-    uint32_t Losses = 0;
+    uint32_t StartupCrashes = 0;
+    uint32_t UnconfirmedCrashes = 0;
+    uint32_t WeightedCrashes = 0;
   };
   /// For the log: a change of `TaskState::StartupCrashes`.
-  struct CrashCount {
+  struct CrashCountChange {
     TaskKey Task;
     std::string Worker; ///< That the change is about; empty: the task has stood its beginning.
     std::string_view Why;
-    uint32_t Crashes = 0;
-    uint32_t Doubts = 0;
+    uint32_t StartupCrashes = 0;
+    uint32_t UnconfirmedCrashes = 0;
   };
   std::vector<Start> Starts;
   std::vector<Placed> Placements;
   std::vector<Failure> Failures;
-  std::vector<Loss> Losses;
-  std::vector<GivenUp> TasksGivenUp;
-  std::vector<CrashCount> CrashCounts;
+  std::vector<LostRun> LostRuns;
+  std::vector<GivenUpTask> TasksGivenUp;
+  std::vector<CrashCountChange> CrashCountChanges;
   std::vector<Stop> Stops;
   std::vector<Ask> Asks;
   std::vector<std::string> Looks; ///< Workers to ask at once what they hold.
@@ -471,7 +472,7 @@
 bool isAwaited(const CellState &Cell, const std::string &Service);
 /// Another life answers at its address, or its lease has surely run out and it is gone.
 void workerOver(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
-                LifeEnd How = LifeEnd::Replaced);
+                WorkerEnd How = WorkerEnd::Replaced);
 /// A lease until \p End, as the process reckons it, may have reached the worker.
 void workerLeased(CellState &Cell, const std::string &Id, TimePoint End);
 void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult What,
--- a/src/scheduler/crash_count.cpp
+++ b/src/scheduler/crash_count.cpp
@@ -34,7 +34,7 @@
     Task->InheritedStartWorker.clear();
   needSave(Cell, *Of, Out);
   Task->CrashCountSave = Of->NeedsSave;
-  Out.CrashCounts.push_back({Key, Worker, Why, Task->StartupCrashes, doubtsOf(*Task)});
+  Out.CrashCountChanges.push_back({Key, Worker, Why, Task->StartupCrashes, doubtsOf(*Task)});
 }
 
 // One silence alone may be a cut link. Work that a cut worker had just begun is not held back for
@@ -77,13 +77,13 @@
   });
 }
 
-void confirm(CellState &Cell, const TaskKey &Key, const Worker &On, LifeEnd How, TimePoint Now,
+void confirm(CellState &Cell, const TaskKey &Key, const Worker &On, WorkerEnd How, TimePoint Now,
              Effects &Out) {
   const std::string &Id = On.Info.Id;
   changeCount(Cell, Key, Id, Out, [&](TaskState &Task) {
     if (std::erase(Task.SuspectWorkers, Id) == 0)
       ++Task.StartupCrashes;
-    if (How == LifeEnd::Replaced) {
+    if (How == WorkerEnd::Replaced) {
       undoubt(Cell, Key, Id);
       return "crashed";
     }
--- a/src/scheduler/crash_count.h
+++ b/src/scheduler/crash_count.h
@@ -22,7 +22,7 @@
 /// The worker may have crashed as the task began.
 void doubt(CellState &Cell, const TaskKey &Key, const Worker &On, TimePoint Now, Effects &Out);
 /// It has, which was in doubt or not counted before.
-void confirm(CellState &Cell, const TaskKey &Key, const Worker &On, LifeEnd How, TimePoint Now,
+void confirm(CellState &Cell, const TaskKey &Key, const Worker &On, WorkerEnd How, TimePoint Now,
              Effects &Out);
 /// It has not.
 void takeBack(CellState &Cell, const TaskKey &Key, const std::string &Worker, Effects &Out);
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -38,10 +38,11 @@
 
 bool crashesWorkers(const SchedulerLimits &Limits, const TaskState &Task, bool Lasts) {
   const uint32_t Seen = Task.StartupCrashes - (Task.InheritedStartWorker.empty() ? 0 : 1);
-  const bool IsSure =
-      Seen >= Limits.MaxCrashes && Task.StartupCrashes - doubtsOf(Task) >= Limits.SureCrashes;
-  const bool Starts = Seen >= Limits.MaxDoubtful || Task.StartupCrashes >= Limits.MaxInherited;
-  return IsSure || Starts || (!Lasts && Task.WeightedCrashes >= Limits.MaxLosses);
+  const bool IsSure = Seen >= Limits.MaxStartupCrashes &&
+                      Task.StartupCrashes - doubtsOf(Task) >= Limits.MinConfirmedCrashes;
+  const bool Starts =
+      Seen >= Limits.MaxUnconfirmedCrashes || Task.StartupCrashes >= Limits.MaxCrashesWithInherited;
+  return IsSure || Starts || (!Lasts && Task.WeightedCrashes >= Limits.MaxWeightedCrashes);
 }
 
 // Without this a task that crashes its workers takes one after the other, and all that runs there,
@@ -56,15 +57,15 @@
   endJob(Cell, *Of, JobPhase::Failed, "a task of it crashes its workers", Now, Out);
 }
 
-void noteLoss(CellState &Cell, const Worker &On, const RunKey &Run, LifeEnd How, Effects &Out) {
+void noteLoss(CellState &Cell, const Worker &On, const RunKey &Run, WorkerEnd How, Effects &Out) {
   const Attempt &What = On.Attempts.at(Run);
   const TaskState *Task = findTask(Cell, Run.Task);
   if (What.Phase == AttemptPhase::Planned || !Task)
     return;
   const TimePoint Began = What.StartedAt == TimePoint{} ? What.Since : What.StartedAt;
   const auto Ran = std::chrono::duration_cast<Milliseconds>(On.ReportAskedAt - Began);
-  Out.Losses.push_back({Run, On.Info.Id, How, std::max(Ran, Milliseconds(0)), Task->StartupCrashes,
-                        doubtsOf(*Task), Task->WeightedCrashes});
+  Out.LostRuns.push_back({Run, On.Info.Id, How, std::max(Ran, Milliseconds(0)),
+                          Task->StartupCrashes, doubtsOf(*Task), Task->WeightedCrashes});
 }
 
 // True if the run, of which nothing was heard since, may have been done by then.
@@ -91,13 +92,13 @@
 }
 
 // The worker has crashed under the run, which was the only one there or not.
-void countLoss(CellState &Cell, const Worker &On, const RunKey &Run, LifeEnd How, bool Alone,
+void countLoss(CellState &Cell, const Worker &On, const RunKey &Run, WorkerEnd How, bool Alone,
                TimePoint Now, Effects &Out) {
   const Attempt &What = On.Attempts.at(Run);
   TaskState *Task = findTask(Cell, Run.Task);
   if (!Task || What.Phase == AttemptPhase::Planned)
     return;
-  if (How == LifeEnd::Replaced && wasThere(On, What, Now)) // kept with the next save of its job
+  if (How == WorkerEnd::Replaced && wasThere(On, What, Now)) // kept with the next save of its job
     Task->WeightedCrashes += Alone ? LossAlone : LossBesideOthers;
   if (isBeginning(What) && wasBeginning(On, What, Now))
     confirm(Cell, Run.Task, On, How, Now, Out);
@@ -106,13 +107,13 @@
 }
 } // namespace
 
-std::string_view toString(LifeEnd How) {
+std::string_view toString(WorkerEnd How) {
   switch (How) {
-  case LifeEnd::Replaced:
+  case WorkerEnd::Replaced:
     return "replaced";
-  case LifeEnd::Gone:
+  case WorkerEnd::Unlisted:
     return "gone";
-  case LifeEnd::Lapsed:
+  case WorkerEnd::LeaseExpired:
     return "lapsed";
   }
   return "";
@@ -136,8 +137,8 @@
     return;
   if (!What.FirstListed)
     What.FirstListed = When.WorkerClock;
-  if (When.AskedAt - What.StartedAt < Cell.Limits.BeginTime &&
-      When.WorkerClock - *What.FirstListed < Cell.Limits.BeginTime)
+  if (When.AskedAt - What.StartedAt < Cell.Limits.StartupTime &&
+      When.WorkerClock - *What.FirstListed < Cell.Limits.StartupTime)
     return;
   // Members of a gang begin their work when the last of them has come.
   if (Step->Spec->Gang && What.Percent == 0)
@@ -182,8 +183,8 @@
     takeBack(Cell, Key, On.Info.Id, Out);
 }
 
-void dropAttempts(CellState &Cell, Worker &On, LifeEnd How, TimePoint Now, Effects &Out) {
-  const bool Crashed = How != LifeEnd::Lapsed && !wasLeaving(On);
+void dropAttempts(CellState &Cell, Worker &On, WorkerEnd How, TimePoint Now, Effects &Out) {
+  const bool Crashed = How != WorkerEnd::LeaseExpired && !wasLeaving(On);
   if (wasLeaving(On))
     takeBackBlame(Cell, On, Now, Out);
   std::vector<RunKey> Lost;
@@ -198,7 +199,7 @@
     unbook(Cell, On, Run);
     runEnded(Cell, Run, RunEnd::Lapsed, "", &On, Now, Out);
   }
-  if (How == LifeEnd::Lapsed)
+  if (How == WorkerEnd::LeaseExpired)
     return; // it is listed: its link is cut rather
   for (const RunKey &Run : Lost)
     giveUpIfDue(Cell, Run.Task, Now, Out);
@@ -232,7 +233,7 @@
 }
 
 void lookAtTrials(const CellState &Cell, const Worker &On, TimePoint Now, Effects &Out) {
-  if (On.IsolatedStarts > 0 && Now - On.ReportAskedAt >= Cell.Limits.BeginTime)
+  if (On.IsolatedStarts > 0 && Now - On.ReportAskedAt >= Cell.Limits.StartupTime)
     Out.Looks.push_back(On.Info.Id);
 }
 
--- a/src/scheduler/crashes.h
+++ b/src/scheduler/crashes.h
@@ -43,7 +43,7 @@
 /// was counted for it until then is taken back.
 void takeBackBlame(CellState &Cell, Worker &On, TimePoint AsOf, Effects &Out);
 /// Ends all attempts on the worker; tasks that crash their workers are given up.
-void dropAttempts(CellState &Cell, Worker &On, LifeEnd How, TimePoint Now, Effects &Out);
+void dropAttempts(CellState &Cell, Worker &On, WorkerEnd How, TimePoint Now, Effects &Out);
 /// Gives up what earlier schedulers saw crash its workers as often as is allowed.
 void giveUpInherited(CellState &Cell, TimePoint Now, Effects &Out);
 /// Work that a silent worker may have done waits a little before it is started elsewhere.
--- a/src/scheduler/crashes_test.cpp
+++ b/src/scheduler/crashes_test.cpp
@@ -39,13 +39,13 @@
   const JobId New = Given.submit(tasks(1, 4000, 60s));
   Given.pass(20ms);
   Given.crash("w0");
-  ASSERT_EQ(Given.Losses.size(), 2u);
-  EXPECT_EQ(Given.Losses[0].Run.Task.Step.Job, Old);
-  EXPECT_GE(Given.Losses[0].Ran, 1500ms);
-  EXPECT_EQ(Given.Losses[1].Run.Task.Step.Job, New);
-  EXPECT_LT(Given.Losses[1].Ran, 100ms);
-  EXPECT_EQ(Given.Losses[1].How, LifeEnd::Replaced);
-  EXPECT_EQ(Given.Losses[1].Worker, "w0");
+  ASSERT_EQ(Given.LostRuns.size(), 2u);
+  EXPECT_EQ(Given.LostRuns[0].Run.Task.Step.Job, Old);
+  EXPECT_GE(Given.LostRuns[0].RunTime, 1500ms);
+  EXPECT_EQ(Given.LostRuns[1].Run.Task.Step.Job, New);
+  EXPECT_LT(Given.LostRuns[1].RunTime, 100ms);
+  EXPECT_EQ(Given.LostRuns[1].Cause, WorkerEnd::Replaced);
+  EXPECT_EQ(Given.LostRuns[1].Worker, "w0");
 }
 
 // As in the account above, to the millisecond, with other work on all workers.
--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -409,15 +409,15 @@
     for (const Effects::Start &What : Out.Starts)
       if (What.Run.Task.Step.Job == Traced)
         Line(What.Run.Task) << "run " << What.Run.Run << " ordered on " << What.Worker << "\n";
-    for (const Effects::Loss &What : Out.Losses)
+    for (const Effects::LostRun &What : Out.LostRuns)
       if (What.Run.Task.Step.Job == Traced)
         Line(What.Run.Task) << "run " << What.Run.Run << " lost with " << What.Worker << ", "
-                            << toString(What.How) << ", ran " << What.Ran.count() << " ms, losses "
-                            << What.Losses << "\n";
-    for (const Effects::CrashCount &What : Out.CrashCounts)
+                            << toString(What.Cause) << ", ran " << What.RunTime.count()
+                            << " ms, losses " << What.WeightedCrashes << "\n";
+    for (const Effects::CrashCountChange &What : Out.CrashCountChanges)
       if (What.Task.Step.Job == Traced)
-        Line(What.Task) << What.Why << " on " << What.Worker << ", crashes " << What.Crashes
-                        << ", doubts " << What.Doubts << "\n";
+        Line(What.Task) << What.Why << " on " << What.Worker << ", crashes " << What.StartupCrashes
+                        << ", doubts " << What.UnconfirmedCrashes << "\n";
   }
 
   enum class Fate { Fine, AnswerLost, Lost, Late };
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -394,7 +394,8 @@
     On->LeaseEnd = std::max(On->LeaseEnd, End);
 }
 
-void workerOver(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out, LifeEnd How) {
+void workerOver(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
+                WorkerEnd How) {
   Worker *On = findWorker(Cell, Id);
   if (!On)
     return;
@@ -582,7 +583,7 @@
       Over.push_back(Id);
     else if (Lapsed) {
       holdBackWhatMayBeDone(Cell, On, Now);
-      dropAttempts(Cell, On, LifeEnd::Lapsed, Now, Out);
+      dropAttempts(Cell, On, WorkerEnd::LeaseExpired, Now, Out);
       heard(Cell, Id, Now, Out);
     } else if (On.IsResponsive) {
       tickStops(Cell, On, Now, Out);
@@ -594,7 +595,7 @@
     }
   }
   for (const std::string &Id : Over)
-    workerOver(Cell, Id, Now, Out, LifeEnd::Gone);
+    workerOver(Cell, Id, Now, Out, WorkerEnd::Unlisted);
   wantWorkers(Cell, Out);
   tickJobs(Cell, Now);
 }
--- a/testsuite/replay/crash_scene.h
+++ b/testsuite/replay/crash_scene.h
@@ -125,7 +125,7 @@
       if (Here[Order.Worker].count(Order.Run))
         report(Order.Worker, {{Order.Run, RunEnd::Stopped}});
     }
-    Losses.insert(Losses.end(), Out.Losses.begin(), Out.Losses.end());
+    LostRuns.insert(LostRuns.end(), Out.LostRuns.begin(), Out.LostRuns.end());
   }
 
   // The worker crashes 10 ms from now; its entry lapses, and another life begins in its place.
@@ -250,7 +250,7 @@
   CellState Cell;
   TimePoint Now = TimePoint{} + Milliseconds(1000000);
   std::vector<Effects::Start> Started;
-  std::vector<Effects::Loss> Losses;
+  std::vector<Effects::LostRun> LostRuns;
   std::map<JobId, JobSpecPtr> Specs;
   std::map<JobId, std::string> Progress; ///< As the store has it.
   std::map<JobId, JobPhase> Ended;
