--- a/src/cell/scheduler_holds.cpp
+++ b/src/cell/scheduler_holds.cpp
@@ -118,7 +118,7 @@
     Out.Deposed = true;
   } else if (error(Report).Kind == ErrorKind::NotFound) {
     logEvent(events::WorkerReplaced, {{"worker", Id}});
-    workerOver(Cell, Id, Now, Out);
+    workerEnded(Cell, Id, Now, Out);
   } else {
     holdFailed(Id, error(Report), IsHeld);
   }
@@ -270,7 +270,7 @@
   else if (error(Answer).Kind == ErrorKind::NotOwner)
     Out.Deposed = true;
   else if (error(Answer).Kind == ErrorKind::NotFound)
-    workerOver(Me->Cell, Order.Worker, Me->Tools.Time.Now(), Out);
+    workerEnded(Me->Cell, Order.Worker, Me->Tools.Time.Now(), Out);
   else
     stopAnswered(Me->Cell, Order.Worker, Order.Run, false, Me->Tools.Time.Now(), Out);
   Me->apply(Out);
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -72,7 +72,7 @@
       5; ///< With a last start of which nobody is left to tell how it went.
   uint32_t MaxWeightedCrashes = 5; ///< The same for `TaskState::WeightedCrashes`: a sound task that
                                    ///< runs beside others is on a worker that crashes often enough.
-  Milliseconds StartupTime{500}; ///< So long after its start a run counts as beginning.
+  Milliseconds StartupTime{500};   ///< So long after its start a run counts as beginning.
 };
 
 /// Where an attempt stands.
@@ -469,10 +469,10 @@
 /// True if nothing of ours runs there and no end of it waits for anything.
 bool isIdle(const Worker &On);
 /// True if a worker of the service may hold runs of an earlier scheduler that are not known yet.
-bool isAwaited(const CellState &Cell, const std::string &Service);
+bool hasUnreportedWorkers(const CellState &Cell, const std::string &Service);
 /// Another life answers at its address, or its lease has surely run out and it is gone.
-void workerOver(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
-                WorkerEnd How = WorkerEnd::Replaced);
+void workerEnded(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
+                 WorkerEnd How = WorkerEnd::Replaced);
 /// A lease until \p End, as the process reckons it, may have reached the worker.
 void workerLeased(CellState &Cell, const std::string &Id, TimePoint End);
 void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult What,
--- a/src/scheduler/crash_count.cpp
+++ b/src/scheduler/crash_count.cpp
@@ -34,13 +34,14 @@
     Task->InheritedStartWorker.clear();
   needSave(Cell, *Of, Out);
   Task->CrashCountSave = Of->NeedsSave;
-  Out.CrashCountChanges.push_back({Key, Worker, Why, Task->StartupCrashes, doubtsOf(*Task)});
+  Out.CrashCountChanges.push_back(
+      {Key, Worker, Why, Task->StartupCrashes, unconfirmedCrashes(*Task)});
 }
 
 // One silence alone may be a cut link. Work that a cut worker had just begun is not held back for
 // it where the store can't be written.
 bool isSuspect(const TaskState &Task) {
-  return Task.StartupCrashes > 1 || doubtsOf(Task) < Task.StartupCrashes;
+  return Task.StartupCrashes > 1 || unconfirmedCrashes(Task) < Task.StartupCrashes;
 }
 
 } // namespace
@@ -50,35 +51,37 @@
   return Step && Key.Index < Step->Tasks.size() ? &Step->Tasks[Key.Index] : nullptr;
 }
 
-uint32_t doubtsOf(const TaskState &Task) {
+uint32_t unconfirmedCrashes(const TaskState &Task) {
   return static_cast<uint32_t>(Task.SuspectWorkers.size());
 }
 
-bool counts(const TaskState &Task, const Worker &On) {
+bool countsCrashOf(const TaskState &Task, const Worker &On) {
   const auto Names = [&](const std::vector<std::string> &Workers) {
     return std::find(Workers.begin(), Workers.end(), On.Info.Id) != Workers.end();
   };
   return Names(Task.SuspectWorkers) || Names(Task.VanishedWorkers);
 }
 
-void noteDoubted(CellState &Cell, const TaskKey &Key, const std::string &Worker, TimePoint Now) {
+void indexSuspectWorker(CellState &Cell, const TaskKey &Key, const std::string &Worker,
+                        TimePoint Now) {
   SuspectWorker &Doubted = Cell.Doubted[Worker];
   Doubted.LastSuspectedAt = std::max(Doubted.LastSuspectedAt, Now);
   Doubted.Tasks.insert(Key);
 }
 
-void doubt(CellState &Cell, const TaskKey &Key, const Worker &On, TimePoint Now, Effects &Out) {
+void suspectCrash(CellState &Cell, const TaskKey &Key, const Worker &On, TimePoint Now,
+                  Effects &Out) {
   const std::string &Id = On.Info.Id;
   changeCount(Cell, Key, Id, Out, [&](TaskState &Task) {
     ++Task.StartupCrashes;
     Task.SuspectWorkers.push_back(Id);
-    noteDoubted(Cell, Key, Id, Now);
+    indexSuspectWorker(Cell, Key, Id, Now);
     return "silent";
   });
 }
 
-void confirm(CellState &Cell, const TaskKey &Key, const Worker &On, WorkerEnd How, TimePoint Now,
-             Effects &Out) {
+void confirmCrash(CellState &Cell, const TaskKey &Key, const Worker &On, WorkerEnd How,
+                  TimePoint Now, Effects &Out) {
   const std::string &Id = On.Info.Id;
   changeCount(Cell, Key, Id, Out, [&](TaskState &Task) {
     if (std::erase(Task.SuspectWorkers, Id) == 0)
@@ -88,12 +91,12 @@
       return "crashed";
     }
     Task.VanishedWorkers.push_back(Id);
-    noteDoubted(Cell, Key, Id, Now);
+    indexSuspectWorker(Cell, Key, Id, Now);
     return "vanished";
   });
 }
 
-void takeBack(CellState &Cell, const TaskKey &Key, const std::string &Worker, Effects &Out) {
+void retractCrash(CellState &Cell, const TaskKey &Key, const std::string &Worker, Effects &Out) {
   changeCount(Cell, Key, Worker, Out, [&](TaskState &Task) -> std::string_view {
     if (std::erase(Task.SuspectWorkers, Worker) + std::erase(Task.VanishedWorkers, Worker) == 0)
       return {};
@@ -103,7 +106,7 @@
   });
 }
 
-void clearCount(CellState &Cell, const TaskKey &Key, Effects &Out) {
+void clearCrashCount(CellState &Cell, const TaskKey &Key, Effects &Out) {
   const TaskState *Task = findTask(Cell, Key);
   if (!Task || Task->StartupCrashes == 0)
     return;
@@ -118,7 +121,7 @@
   });
 }
 
-void dropDoubts(CellState &Cell, const Job &Of) {
+void removeJobFromSuspectIndex(CellState &Cell, const Job &Of) {
   for (const auto &[Number, Round] : Of.Rounds)
     for (const StepState &Step : Round.Steps)
       for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
@@ -127,7 +130,7 @@
             undoubt(Cell, {Step.Key, I}, Worker);
 }
 
-void noteTrial(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
+void notePendingStart(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
   TaskState *Task = findTask(Cell, Key);
   Task->InheritedStartWorker.clear();
   if (Task->StartupCrashes == 0 || Task->PendingStartWorker == On.Info.Id)
@@ -138,7 +141,7 @@
   Task->CrashCountSave = Of.NeedsSave;
 }
 
-void settleTrial(CellState &Cell, const TaskKey &Key, Effects &Out) {
+void clearPendingStart(CellState &Cell, const TaskKey &Key, Effects &Out) {
   TaskState *Task = findTask(Cell, Key);
   if (!Task || Task->PendingStartWorker.empty())
     return;
@@ -147,24 +150,24 @@
     needSave(Cell, Of, Out);
 }
 
-void noteNotBegun(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
-  takeBack(Cell, Key, On.Info.Id, Out);
-  settleTrial(Cell, Key, Out);
+void noteNeverStarted(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
+  retractCrash(Cell, Key, On.Info.Id, Out);
+  clearPendingStart(Cell, Key, Out);
 }
 
-bool mayLaunch(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
-  noteTrial(Cell, Key, On, Out);
-  return !waitsForCrashSave(Cell, *findTask(Cell, Key));
+bool mayStartNow(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
+  notePendingStart(Cell, Key, On, Out);
+  return !awaitsCrashCountSave(Cell, *findTask(Cell, Key));
 }
 
-bool waitsForCrashSave(const CellState &Cell, const TaskState &Task) {
+bool awaitsCrashCountSave(const CellState &Cell, const TaskState &Task) {
   return isSuspect(Task) && Cell.Saves.count(Task.CrashCountSave) > 0;
 }
 
-void settleInherited(CellState &Cell, const TaskKey &Key, Effects &Out) {
+void retractInheritedStart(CellState &Cell, const TaskKey &Key, Effects &Out) {
   const TaskState *Task = findTask(Cell, Key);
   if (Task && !Task->InheritedStartWorker.empty())
-    takeBack(Cell, Key, std::string(Task->InheritedStartWorker), Out);
+    retractCrash(Cell, Key, std::string(Task->InheritedStartWorker), Out);
 }
 
 } // namespace valveshelf::sched
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -39,7 +39,7 @@
 bool crashesWorkers(const SchedulerLimits &Limits, const TaskState &Task, bool Lasts) {
   const uint32_t Seen = Task.StartupCrashes - (Task.InheritedStartWorker.empty() ? 0 : 1);
   const bool IsSure = Seen >= Limits.MaxStartupCrashes &&
-                      Task.StartupCrashes - doubtsOf(Task) >= Limits.MinConfirmedCrashes;
+                      Task.StartupCrashes - unconfirmedCrashes(Task) >= Limits.MinConfirmedCrashes;
   const bool Starts =
       Seen >= Limits.MaxUnconfirmedCrashes || Task.StartupCrashes >= Limits.MaxCrashesWithInherited;
   return IsSure || Starts || (!Lasts && Task.WeightedCrashes >= Limits.MaxWeightedCrashes);
@@ -53,7 +53,8 @@
   if (!Of || Task->Done || Of->Phase != JobPhase::Live ||
       !crashesWorkers(Cell.Limits, *Task, findStep(Cell, Key.Step)->Spec->Lasting))
     return;
-  Out.TasksGivenUp.push_back({Key, Task->StartupCrashes, doubtsOf(*Task), Task->WeightedCrashes});
+  Out.TasksGivenUp.push_back(
+      {Key, Task->StartupCrashes, unconfirmedCrashes(*Task), Task->WeightedCrashes});
   endJob(Cell, *Of, JobPhase::Failed, "a task of it crashes its workers", Now, Out);
 }
 
@@ -65,7 +66,7 @@
   const TimePoint Began = What.StartedAt == TimePoint{} ? What.Since : What.StartedAt;
   const auto Ran = std::chrono::duration_cast<Milliseconds>(On.ReportAskedAt - Began);
   Out.LostRuns.push_back({Run, On.Info.Id, How, std::max(Ran, Milliseconds(0)),
-                          Task->StartupCrashes, doubtsOf(*Task), Task->WeightedCrashes});
+                          Task->StartupCrashes, unconfirmedCrashes(*Task), Task->WeightedCrashes});
 }
 
 // True if the run, of which nothing was heard since, may have been done by then.
@@ -101,9 +102,9 @@
   if (How == WorkerEnd::Replaced && wasThere(On, What, Now)) // kept with the next save of its job
     Task->WeightedCrashes += Alone ? LossAlone : LossBesideOthers;
   if (isBeginning(What) && wasBeginning(On, What, Now))
-    confirm(Cell, Run.Task, On, How, Now, Out);
-  else if (isBeginning(What) && !counts(*Task, On))
-    doubt(Cell, Run.Task, On, Now, Out);
+    confirmCrash(Cell, Run.Task, On, How, Now, Out);
+  else if (isBeginning(What) && !countsCrashOf(*Task, On))
+    suspectCrash(Cell, Run.Task, On, Now, Out);
 }
 } // namespace
 
@@ -119,17 +120,17 @@
   return "";
 }
 
-bool beginsApart(const StepState &Step, const TaskState &Task) {
+bool needsIsolatedStart(const StepState &Step, const TaskState &Task) {
   return Task.StartupCrashes > 0 && !Step.Spec->Gang;
 }
 
-bool isQuiet(const Worker &On, const RunKey *Run) {
+bool hasNoOtherStartups(const Worker &On, const RunKey *Run) {
   return std::all_of(On.Attempts.begin(), On.Attempts.end(), [&](const auto &Entry) {
     return !isBeginning(Entry.second) || (Run && Entry.first == *Run);
   });
 }
 
-void noteBeginning(CellState &Cell, Worker &On, const RunKey &Run, Attempt &What,
+void noteRunListed(CellState &Cell, Worker &On, const RunKey &Run, Attempt &What,
                    const ReportTimes &When, Effects &Out) {
   What.SeenAt = std::max(What.SeenAt, When.AskedAt);
   const StepState *Step = findStep(Cell, Run.Task.Step);
@@ -146,19 +147,19 @@
   What.Stands = true;
   On.IsolatedStarts -= What.OnTrial ? 1 : 0;
   What.OnTrial = false;
-  clearCount(Cell, Run.Task, Out);
+  clearCrashCount(Cell, Run.Task, Out);
 }
 
-void noteListedEnd(CellState &Cell, const EndedRun &End, Effects &Out) {
-  settleInherited(Cell, End.Run.Task, Out);
+void noteEndListed(CellState &Cell, const EndedRun &End, Effects &Out) {
+  retractInheritedStart(Cell, End.Run.Task, Out);
   TaskState *Task = findTask(Cell, End.Run.Task);
   if (Task && Task->Run == End.Run.Run)
-    settleTrial(Cell, End.Run.Task, Out);
+    clearPendingStart(Cell, End.Run.Task, Out);
   if (Task && (End.How == RunEnd::Done || End.How == RunEnd::Failed))
     Task->WeightedCrashes = 0;
 }
 
-void blameBeginners(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
+void countSilence(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
   if (!On.HasUncountedSilence)
     return;
   On.HasUncountedSilence = false;
@@ -166,12 +167,12 @@
     On.SilentSince = Now;
   for (auto &[Run, What] : On.Attempts) {
     const TaskState *Task = findTask(Cell, Run.Task);
-    if (Task && isBeginning(What) && !counts(*Task, On))
-      doubt(Cell, Run.Task, On, Now, Out);
+    if (Task && isBeginning(What) && !countsCrashOf(*Task, On))
+      suspectCrash(Cell, Run.Task, On, Now, Out);
   }
 }
 
-void takeBackBlame(CellState &Cell, Worker &On, TimePoint AsOf, Effects &Out) {
+void retractSuspicions(CellState &Cell, Worker &On, TimePoint AsOf, Effects &Out) {
   if (AsOf < On.SilentSince)
     return;
   On.HasUncountedSilence = false;
@@ -180,19 +181,19 @@
   if (Found == Cell.Doubted.end() || AsOf < Found->second.LastSuspectedAt)
     return;
   for (const TaskKey &Key : std::set(Found->second.Tasks))
-    takeBack(Cell, Key, On.Info.Id, Out);
+    retractCrash(Cell, Key, On.Info.Id, Out);
 }
 
 void dropAttempts(CellState &Cell, Worker &On, WorkerEnd How, TimePoint Now, Effects &Out) {
   const bool Crashed = How != WorkerEnd::LeaseExpired && !wasLeaving(On);
   if (wasLeaving(On))
-    takeBackBlame(Cell, On, Now, Out);
+    retractSuspicions(Cell, On, Now, Out);
   std::vector<RunKey> Lost;
   for (const auto &[Run, What] : On.Attempts)
     Lost.push_back(Run);
   for (const RunKey &Run : Lost) {
     if (On.Attempts.at(Run).Phase == AttemptPhase::Planned)
-      settleTrial(Cell, Run.Task, Out);
+      clearPendingStart(Cell, Run.Task, Out);
     if (Crashed)
       countLoss(Cell, On, Run, How, Lost.size() == 1, Now, Out);
     noteLoss(Cell, On, Run, How, Out);
@@ -208,7 +209,7 @@
 // A silent worker that the platform still lists is alive, and lists its ends when it can be reached
 // again. Work that may be among them waits a little before it is started elsewhere; behind a full
 // link it would be done twice.
-void holdBackWhatMayBeDone(CellState &Cell, const Worker &On, TimePoint Now) {
+void delayPossiblyDoneTasks(CellState &Cell, const Worker &On, TimePoint Now) {
   if (!On.Listed)
     return;
   for (const auto &[Run, What] : On.Attempts) {
@@ -220,7 +221,7 @@
 
 // Where each scheduler ends before it knows what became of the silent worker, none would ever see
 // the last crash.
-void giveUpInherited(CellState &Cell, TimePoint Now, Effects &Out) {
+void giveUpRestoredTasks(CellState &Cell, TimePoint Now, Effects &Out) {
   std::vector<TaskKey> Counted;
   for (const auto &[Id, Of] : Cell.Jobs)
     for (const auto &[Number, Round] : Of.Rounds)
@@ -232,7 +233,7 @@
     giveUpIfDue(Cell, Key, Now, Out);
 }
 
-void lookAtTrials(const CellState &Cell, const Worker &On, TimePoint Now, Effects &Out) {
+void pollIsolatedStarts(const CellState &Cell, const Worker &On, TimePoint Now, Effects &Out) {
   if (On.IsolatedStarts > 0 && Now - On.ReportAskedAt >= Cell.Limits.StartupTime)
     Out.Looks.push_back(On.Info.Id);
 }
--- a/src/scheduler/crashes.h
+++ b/src/scheduler/crashes.h
@@ -22,9 +22,9 @@
 
 /// True if the task is to begin on a worker where nothing else is beginning. Members of a gang
 /// begin together with the others all the same.
-bool beginsApart(const StepState &Step, const TaskState &Task);
+bool needsIsolatedStart(const StepState &Step, const TaskState &Task);
 /// True if nothing but \p Run is beginning on the worker.
-bool isQuiet(const Worker &On, const RunKey *Run = nullptr);
+bool hasNoOtherStartups(const Worker &On, const RunKey *Run = nullptr);
 /// When a worker made a report: at the time of its own clock, which lies between the others.
 struct ReportTimes {
   TimePoint AskedAt{};
@@ -33,22 +33,22 @@
 };
 
 /// The worker lists the run.
-void noteBeginning(CellState &Cell, Worker &On, const RunKey &Run, Attempt &What,
+void noteRunListed(CellState &Cell, Worker &On, const RunKey &Run, Attempt &What,
                    const ReportTimes &When, Effects &Out);
 /// The worker lists the end of a run.
-void noteListedEnd(CellState &Cell, const EndedRun &End, Effects &Out);
+void noteEndListed(CellState &Cell, const EndedRun &End, Effects &Out);
 /// Counts the silence of a worker against what was beginning there.
-void blameBeginners(CellState &Cell, Worker &On, TimePoint Now, Effects &Out);
+void countSilence(CellState &Cell, Worker &On, TimePoint Now, Effects &Out);
 /// The worker was heard, or had announced that it leaves: it has not crashed by \p AsOf, and what
 /// was counted for it until then is taken back.
-void takeBackBlame(CellState &Cell, Worker &On, TimePoint AsOf, Effects &Out);
+void retractSuspicions(CellState &Cell, Worker &On, TimePoint AsOf, Effects &Out);
 /// Ends all attempts on the worker; tasks that crash their workers are given up.
 void dropAttempts(CellState &Cell, Worker &On, WorkerEnd How, TimePoint Now, Effects &Out);
 /// Gives up what earlier schedulers saw crash its workers as often as is allowed.
-void giveUpInherited(CellState &Cell, TimePoint Now, Effects &Out);
+void giveUpRestoredTasks(CellState &Cell, TimePoint Now, Effects &Out);
 /// Work that a silent worker may have done waits a little before it is started elsewhere.
-void holdBackWhatMayBeDone(CellState &Cell, const Worker &On, TimePoint Now);
+void delayPossiblyDoneTasks(CellState &Cell, const Worker &On, TimePoint Now);
 /// Asks what has become of runs on trial.
-void lookAtTrials(const CellState &Cell, const Worker &On, TimePoint Now, Effects &Out);
+void pollIsolatedStarts(const CellState &Cell, const Worker &On, TimePoint Now, Effects &Out);
 
 } // namespace valveshelf::sched
--- a/src/scheduler/evacuation_test.cpp
+++ b/src/scheduler/evacuation_test.cpp
@@ -129,7 +129,7 @@
   EXPECT_EQ(Moved.Stops.front().Why, "its availability zone is emptied");
   WorkInZone Alone(Lasting);
   Effects Out;
-  workerOver(Alone.Cell, "b1", Alone.Now, Out);
+  workerEnded(Alone.Cell, "b1", Alone.Now, Out);
   EXPECT_TRUE(Alone.pass().Stops.empty()) << "no place elsewhere";
 }
 
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -99,7 +99,7 @@
 bool mayLaunchAll(Pass &In, const StepState &Step) {
   bool All = true;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    All = mayLaunch(In.Cell, {Step.Key, I}, *Step.Tasks[I].AssignedWorker, In.Out) && All;
+    All = mayStartNow(In.Cell, {Step.Key, I}, *Step.Tasks[I].AssignedWorker, In.Out) && All;
   return All;
 }
 
--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -231,7 +231,7 @@
     }
     for (const auto *Workers : {&Task.SuspectWorkers, &Task.VanishedWorkers})
       for (const std::string &Worker : *Workers)
-        noteDoubted(Cell, {Key, Saved.Index}, Worker, Cell.WallAt);
+        indexSuspectWorker(Cell, {Key, Saved.Index}, Worker, Cell.WallAt);
     Task.WeightedCrashes = Saved.Losses;
     (Step->Spec->Gang ? Step->GangFailures : Task.FailedRuns)
         .insert(Saved.FailedRuns.begin(), Saved.FailedRuns.end());
@@ -266,7 +266,7 @@
     if (Of.Phase == JobPhase::Live && Of.RoundsDone >= std::max<uint32_t>(Of.Spec->Repetitions, 1))
       endJob(Cell, Of, JobPhase::Completed, "the job is complete", Now, Out);
   }
-  giveUpInherited(Cell, Now, Out);
+  giveUpRestoredTasks(Cell, Now, Out);
 }
 
 void cancelJob(CellState &Cell, JobId Id, TimePoint Now, Effects &Out) {
@@ -323,7 +323,7 @@
   const JobId Id = Of.Spec->Id;
   Cell.Ended[Id] = {Of.Phase, Revision, Now, Of.Spec->Organisation};
   Cell.Forgettable.emplace_back(Now, Id);
-  dropDoubts(Cell, Of);
+  removeJobFromSuspectIndex(Cell, Of);
   Cell.Jobs.erase(Id);
 }
 } // namespace
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -78,7 +78,7 @@
   const bool MayRun = (Task.MayRunOnUnreportedWorker && In.Awaited.count(Service) > 0) ||
                       (Task.MayBeStartedByPredecessor && In.Asked.count(Service) > 0);
   return !Task.Done && !Task.AssignedWorker && !MayRun && Task.NotBefore <= In.Now &&
-         !waitsForCrashSave(In.Cell, Task) && !hasStray(In.Cell, {Step.Key, Index});
+         !awaitsCrashCountSave(In.Cell, Task) && !hasStray(In.Cell, {Step.Key, Index});
 }
 
 namespace {
@@ -101,7 +101,8 @@
     else if (!hasTicket(In, Of, Step, *On))
       NoTicket.push_back(On->Info.Id);
     else if (fits(What.Need, On->Info.Capacity - On->Booked) &&
-             (!What.OnTrial || (isQuiet(*On, &Run) && mayLaunch(In.Cell, Run.Task, *On, In.Out))))
+             (!What.OnTrial ||
+              (hasNoOtherStartups(*On, &Run) && mayStartNow(In.Cell, Run.Task, *On, In.Out))))
       orderStart(In, Of, Step, I, *On, What);
   }
   std::sort(NoTicket.begin(), NoTicket.end());
@@ -121,7 +122,7 @@
   bool WaitsForSave = false;
   for (uint32_t I = 0; I < Step.Tasks.size() && !Missed; ++I) {
     TaskState &Task = Step.Tasks[I];
-    WaitsForSave = WaitsForSave || waitsForCrashSave(In.Cell, Task);
+    WaitsForSave = WaitsForSave || awaitsCrashCountSave(In.Cell, Task);
     if (!isPlaceable(In, Of, Step, I))
       continue;
     OverQuota = !isWithinQuota(In.Cell, Of.Owner, Step.Spec->Need);
@@ -130,8 +131,8 @@
       continue;
     }
     Worker *On = findRoom(In, Of, Step, Task);
-    const bool Yields =
-        !On && !beginsApart(Step, Task) && !Step.Queued->Late && gainsByStopping(In, Of, Step);
+    const bool Yields = !On && !needsIsolatedStart(Step, Task) && !Step.Queued->Late &&
+                        gainsByStopping(In, Of, Step);
     if (Yields)
       On = findYielding(In, Of, Step, Task);
     if (!On) {
--- a/src/scheduler/placement_test.cpp
+++ b/src/scheduler/placement_test.cpp
@@ -100,7 +100,7 @@
   ASSERT_EQ(Given.pass().Asks.size(), 1u);
   Effects Out;
   const StepKey Step{Job, 0, 0};
-  workerOver(Given.Cell, "w0", Given.Now, Out);
+  workerEnded(Given.Cell, "w0", Given.Now, Out);
   Given.addWorker("w2"); // its slot is a new one
   adviceAnswered(Given.Cell, Step, {"w0", "w1"}, {{"w0", "t0"}}, 1500ms, Given.Now);
   const Effects After = Given.pass();
--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -202,8 +202,8 @@
   // A caller waits for the slowest task: a worker that is still slow is taken when no other is.
   Value.Penalty += On.SlowUntil > In.Now ? SlowPenalty : 0;
   // What may crash its worker goes where it can begin at once and takes least with it.
-  const bool Apart = beginsApart(Step, Task);
-  Value.Penalty += Apart && !isQuiet(On) ? NotQuietPenalty : 0;
+  const bool Apart = needsIsolatedStart(Step, Task);
+  Value.Penalty += Apart && !hasNoOtherStartups(On) ? NotQuietPenalty : 0;
   // Urgent work is spread; work that can wait is packed, which leaves large gaps for gangs.
   const int64_t Left = roomFor(In, On, Of, Step).MilliCores;
   Value.Left = Of.Spec->Priority == 0 || Apart ? -Left : Left;
@@ -215,7 +215,7 @@
   Worker *Best = nullptr;
   Score BestScore;
   const Resources Need = needOf(Step);
-  const bool Apart = beginsApart(Step, Task);
+  const bool Apart = needsIsolatedStart(Step, Task);
   eachAdvised(In, Of, Step, [&](Worker &On) {
     if (Apart && On.Planned != Resources{})
       return;
--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -553,7 +553,7 @@
         Effects Out;
         // A new life at the same place says so at once.
         if (To->Crashed ? To->IsReplaced : To->Dead && chance(0.5))
-          workerOver(Of->Cell, Id, steady(), Out);
+          workerEnded(Of->Cell, Id, steady(), Out);
         else
           workerSilent(Of->Cell, Id);
         apply(Of, Out);
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -42,7 +42,7 @@
     return;
   const std::string Service = std::move(Found->second);
   Cell.Unheard.erase(Found);
-  if (isAwaited(Cell, Service))
+  if (hasUnreportedWorkers(Cell, Service))
     return;
   for (auto &[JobNumber, Of] : Cell.Jobs) {
     if (Of.Spec->Service != Service)
@@ -92,8 +92,8 @@
     Attempt &Taken =
         book(Cell, *Step, Row.Run.Task.Index, On, Row.Run.Run, AttemptPhase::Running, Of, Now);
     Taken.StartedAt = Taken.PercentChanged = Now;
-    settleInherited(Cell, Row.Run.Task, Out);
-    noteTrial(Cell, Row.Run.Task, On, Out);
+    retractInheritedStart(Cell, Row.Run.Task, Out);
+    notePendingStart(Cell, Row.Run.Task, On, Out);
     Of.Begun = true;
     if (Step->Spec->Gang)
       Step->GangRun = std::max(Step->GangRun, Row.Run.Run);
@@ -120,7 +120,7 @@
     What.Percent = Row.Percent;
     What.PercentChanged = Now;
   }
-  noteBeginning(Cell, On, Row.Run, What, When, Out);
+  noteRunListed(Cell, On, Row.Run, What, When, Out);
   StepState *Step = findStep(Cell, Row.Run.Task.Step);
   if (!Step || Row.Run.Task.Index >= Step->Tasks.size())
     return;
@@ -165,7 +165,7 @@
       continue;
     On.LastEndNumber = End.Number;
     judge(Cell, On, End, Now);
-    noteListedEnd(Cell, End, Out);
+    noteEndListed(Cell, End, Out);
     unbook(Cell, On, End.Run);
     runEnded(Cell, End.Run, End.How, End.Checkpoint, &On, Now, Out);
     const auto Of = Cell.Jobs.find(End.Run.Task.Step.Job);
@@ -192,7 +192,7 @@
         !IsActive(Run))
       Gone.push_back(Run);
   for (const RunKey &Run : Gone) {
-    noteNotBegun(Cell, Run.Task, On, Out);
+    noteNeverStarted(Cell, Run.Task, On, Out);
     unbook(Cell, On, Run);
     runEnded(Cell, Run, RunEnd::Stopped, "", &On, Now, Out);
   }
@@ -216,7 +216,7 @@
     On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + ShortPause);
   if (What == StartResult::RefusedRoom)
     Out.Looks.push_back(On.Info.Id);
-  noteNotBegun(Cell, Run.Task, On, Out);
+  noteNeverStarted(Cell, Run.Task, On, Out);
   unbook(Cell, On, Run);
   if (!Step)
     return;
@@ -251,7 +251,7 @@
   Cell.UrgentAttempts += Made.IsUrgent ? 1 : 0;
   Made.Objective = Of.Objective;
   Made.Estimate = Step.Spec->Estimate;
-  Made.OnTrial = beginsApart(Step, Task);
+  Made.OnTrial = needsIsolatedStart(Step, Task);
   On.IsolatedStarts += Made.OnTrial ? 1 : 0;
   Made.MayBeStopped = Step.Spec->Checkpoints && !Step.Spec->Gang && !Step.Spec->Lasting;
   Made.Phase = Phase;
@@ -306,7 +306,7 @@
 }
 
 void dropPlanned(CellState &Cell, Worker &On, const RunKey &Run, Effects &Out) {
-  settleTrial(Cell, Run.Task, Out);
+  clearPendingStart(Cell, Run.Task, Out);
   unbook(Cell, On, Run);
 }
 
@@ -368,7 +368,7 @@
     return;
   On->IsResponsive = true;
   On->ReportAskedAt = std::max(On->ReportAskedAt, AskedAt);
-  takeBackBlame(Cell, *On, AskedAt, Out);
+  retractSuspicions(Cell, *On, AskedAt, Out);
   readEnds(Cell, *On, Report, Now, Out);
   for (const ActiveRun &Row : Report.Active) {
     const auto Found = On->Attempts.find(Row.Run);
@@ -394,8 +394,8 @@
     On->LeaseEnd = std::max(On->LeaseEnd, End);
 }
 
-void workerOver(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
-                WorkerEnd How) {
+void workerEnded(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
+                 WorkerEnd How) {
   Worker *On = findWorker(Cell, Id);
   if (!On)
     return;
@@ -416,7 +416,7 @@
   if (What == StartResult::OtherLife) {
     if (Found != On->Attempts.end() && Found->second.Phase == AttemptPhase::Starting)
       refused(Cell, *On, Run, What, Now, Out);
-    return workerOver(Cell, Id, Now, Out);
+    return workerEnded(Cell, Id, Now, Out);
   }
   On->IsResponsive = What != StartResult::Unknown && What != StartResult::NotSent;
   if (Found == On->Attempts.end())
@@ -521,7 +521,7 @@
   }
 }
 
-bool isAwaited(const CellState &Cell, const std::string &Service) {
+bool hasUnreportedWorkers(const CellState &Cell, const std::string &Service) {
   return std::any_of(Cell.Unheard.begin(), Cell.Unheard.end(),
                      [&](const auto &Entry) { return Entry.second == Service; });
 }
@@ -577,12 +577,12 @@
     Cell.NextStuckLook = Now + StuckLookEvery;
   std::vector<std::string> Over;
   for (auto &[Id, On] : Cell.Workers) {
-    blameBeginners(Cell, On, Now, Out);
+    countSilence(Cell, On, Now, Out);
     const bool Lapsed = !On.IsResponsive && Now > On.LeaseEnd;
     if ((Lapsed && !On.Listed) || mayBeLetGo(On))
       Over.push_back(Id);
     else if (Lapsed) {
-      holdBackWhatMayBeDone(Cell, On, Now);
+      delayPossiblyDoneTasks(Cell, On, Now);
       dropAttempts(Cell, On, WorkerEnd::LeaseExpired, Now, Out);
       heard(Cell, Id, Now, Out);
     } else if (On.IsResponsive) {
@@ -590,12 +590,12 @@
       if (LookForStuck) {
         tickLeftOver(Cell, On, Now, Out);
         tickStuck(Cell, On, Now, Out);
-        lookAtTrials(Cell, On, Now, Out);
+        pollIsolatedStarts(Cell, On, Now, Out);
       }
     }
   }
   for (const std::string &Id : Over)
-    workerOver(Cell, Id, Now, Out, WorkerEnd::Unlisted);
+    workerEnded(Cell, Id, Now, Out, WorkerEnd::Unlisted);
   wantWorkers(Cell, Out);
   tickJobs(Cell, Now);
 }
--- a/testsuite/replay/crash_scene.h
+++ b/testsuite/replay/crash_scene.h
@@ -151,7 +151,7 @@
     const uint16_t Port = Ports.at(Id);
     forget(Id);
     Effects Out;
-    workerOver(Cell, Id, Now, Out);
+    workerEnded(Cell, Id, Now, Out);
     take(Out);
     addWorker("life" + std::to_string(++LastLife), Port);
   }
