--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -475,7 +475,7 @@
                  WorkerEnd How = WorkerEnd::Replaced);
 /// A lease until \p End, as the process reckons it, may have reached the worker.
 void workerLeased(CellState &Cell, const std::string &Id, TimePoint End);
-void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult What,
+void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult Answer,
                    TimePoint Now, Effects &Out);
 void stopAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, bool Acked,
                   TimePoint Now, Effects &Out);
--- a/src/scheduler/crash_count.cpp
+++ b/src/scheduler/crash_count.cpp
@@ -7,7 +7,7 @@
 
 namespace valveshelf::sched {
 namespace {
-void undoubt(CellState &Cell, const TaskKey &Key, const std::string &Worker) {
+void removeFromSuspectIndex(CellState &Cell, const TaskKey &Key, const std::string &Worker) {
   const auto Found = Cell.Doubted.find(Worker);
   if (Found == Cell.Doubted.end())
     return;
@@ -40,7 +40,7 @@
 
 // One silence alone may be a cut link. Work that a cut worker had just begun is not held back for
 // it where the store can't be written.
-bool isSuspect(const TaskState &Task) {
+bool needsDurableCount(const TaskState &Task) {
   return Task.StartupCrashes > 1 || unconfirmedCrashes(Task) < Task.StartupCrashes;
 }
 
@@ -64,9 +64,9 @@
 
 void indexSuspectWorker(CellState &Cell, const TaskKey &Key, const std::string &Worker,
                         TimePoint Now) {
-  SuspectWorker &Doubted = Cell.Doubted[Worker];
-  Doubted.LastSuspectedAt = std::max(Doubted.LastSuspectedAt, Now);
-  Doubted.Tasks.insert(Key);
+  SuspectWorker &Suspect = Cell.Doubted[Worker];
+  Suspect.LastSuspectedAt = std::max(Suspect.LastSuspectedAt, Now);
+  Suspect.Tasks.insert(Key);
 }
 
 void suspectCrash(CellState &Cell, const TaskKey &Key, const Worker &On, TimePoint Now,
@@ -87,7 +87,7 @@
     if (std::erase(Task.SuspectWorkers, Id) == 0)
       ++Task.StartupCrashes;
     if (How == WorkerEnd::Replaced) {
-      undoubt(Cell, Key, Id);
+      removeFromSuspectIndex(Cell, Key, Id);
       return "crashed";
     }
     Task.VanishedWorkers.push_back(Id);
@@ -101,7 +101,7 @@
     if (std::erase(Task.SuspectWorkers, Worker) + std::erase(Task.VanishedWorkers, Worker) == 0)
       return {};
     --Task.StartupCrashes;
-    undoubt(Cell, Key, Worker);
+    removeFromSuspectIndex(Cell, Key, Worker);
     return "heard";
   });
 }
@@ -112,9 +112,9 @@
     return;
   changeCount(Cell, Key, "", Out, [&](TaskState &Counted) {
     for (const std::string &Worker : std::exchange(Counted.SuspectWorkers, {}))
-      undoubt(Cell, Key, Worker);
+      removeFromSuspectIndex(Cell, Key, Worker);
     for (const std::string &Worker : std::exchange(Counted.VanishedWorkers, {}))
-      undoubt(Cell, Key, Worker);
+      removeFromSuspectIndex(Cell, Key, Worker);
     Counted.StartupCrashes = 0;
     Counted.InheritedStartWorker.clear();
     return "stands";
@@ -127,7 +127,7 @@
       for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
         for (const auto *Workers : {&Step.Tasks[I].SuspectWorkers, &Step.Tasks[I].VanishedWorkers})
           for (const std::string &Worker : *Workers)
-            undoubt(Cell, {Step.Key, I}, Worker);
+            removeFromSuspectIndex(Cell, {Step.Key, I}, Worker);
 }
 
 void notePendingStart(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
@@ -161,7 +161,7 @@
 }
 
 bool awaitsCrashCountSave(const CellState &Cell, const TaskState &Task) {
-  return isSuspect(Task) && Cell.Saves.count(Task.CrashCountSave) > 0;
+  return needsDurableCount(Task) && Cell.Saves.count(Task.CrashCountSave) > 0;
 }
 
 void retractInheritedStart(CellState &Cell, const TaskKey &Key, Effects &Out) {
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -10,24 +10,24 @@
 namespace {
 // A run that its worker's lease has ended may have been done if so much of its estimate has passed;
 // estimates are off by half.
-constexpr double LeastDonePart = 0.5;
+constexpr double MinDoneFraction = 0.5;
 // What may be done is not started elsewhere for this time after the lease: cut links come back
 // within it, and a worker that is gone is off the platform's list by then.
-constexpr Milliseconds DoneWait{3000};
+constexpr Milliseconds PossiblyDoneDelay{3000};
 // A worker's calls are held, so that an end is heard of at once; while ends wait to be saved, after
 // this pause.
-constexpr Milliseconds EndHeardTime{250};
+constexpr Milliseconds EndReportDelay{250};
 // No run is over sooner, while a task that crashes its worker does it at once and is noticed then,
 // where connections end.
-constexpr Milliseconds ShortestRun{40};
+constexpr Milliseconds MinRunTime{40};
 // What a crash counts in `TaskState::WeightedCrashes`: who else than the only run there should be
 // to blame.
-constexpr uint32_t LossBesideOthers = 1;
-constexpr uint32_t LossAlone = 2;
+constexpr uint32_t SharedCrashWeight = 1;
+constexpr uint32_t SoleRunCrashWeight = 2;
 
 // True if the run may have crashed its worker by beginning.
-bool isBeginning(const Attempt &What) {
-  return What.Phase != AttemptPhase::Planned && !What.Stands;
+bool isInStartup(const Attempt &Entry) {
+  return Entry.Phase != AttemptPhase::Planned && !Entry.Stands;
 }
 
 // A worker that said that it leaves, or that served on after it had left the list, ended as
@@ -36,18 +36,21 @@
   return On.Info.Draining || (!On.Listed && On.ReportAskedAt > On.UnlistedAt);
 }
 
-bool crashesWorkers(const SchedulerLimits &Limits, const TaskState &Task, bool Lasts) {
-  const uint32_t Seen = Task.StartupCrashes - (Task.InheritedStartWorker.empty() ? 0 : 1);
-  const bool IsSure = Seen >= Limits.MaxStartupCrashes &&
-                      Task.StartupCrashes - unconfirmedCrashes(Task) >= Limits.MinConfirmedCrashes;
-  const bool Starts =
-      Seen >= Limits.MaxUnconfirmedCrashes || Task.StartupCrashes >= Limits.MaxCrashesWithInherited;
-  return IsSure || Starts || (!Lasts && Task.WeightedCrashes >= Limits.MaxWeightedCrashes);
+bool crashesWorkers(const SchedulerLimits &Limits, const TaskState &Task, bool IsLasting) {
+  const uint32_t WithoutInherited =
+      Task.StartupCrashes - (Task.InheritedStartWorker.empty() ? 0 : 1);
+  const bool IsConfirmed =
+      WithoutInherited >= Limits.MaxStartupCrashes &&
+      Task.StartupCrashes - unconfirmedCrashes(Task) >= Limits.MinConfirmedCrashes;
+  const bool IsOverStartLimit = WithoutInherited >= Limits.MaxUnconfirmedCrashes ||
+                                Task.StartupCrashes >= Limits.MaxCrashesWithInherited;
+  return IsConfirmed || IsOverStartLimit ||
+         (!IsLasting && Task.WeightedCrashes >= Limits.MaxWeightedCrashes);
 }
 
 // Without this a task that crashes its workers takes one after the other, and all that runs there,
 // until its caller goes away.
-void giveUpIfDue(CellState &Cell, const TaskKey &Key, TimePoint Now, Effects &Out) {
+void giveUpIfCrashing(CellState &Cell, const TaskKey &Key, TimePoint Now, Effects &Out) {
   const TaskState *Task = findTask(Cell, Key);
   Job *Of = Task ? &Cell.Jobs.at(Key.Step.Job) : nullptr;
   if (!Of || Task->Done || Of->Phase != JobPhase::Live ||
@@ -58,52 +61,55 @@
   endJob(Cell, *Of, JobPhase::Failed, "a task of it crashes its workers", Now, Out);
 }
 
-void noteLoss(CellState &Cell, const Worker &On, const RunKey &Run, WorkerEnd How, Effects &Out) {
-  const Attempt &What = On.Attempts.at(Run);
+void noteLostRun(CellState &Cell, const Worker &On, const RunKey &Run, WorkerEnd How,
+                 Effects &Out) {
+  const Attempt &Entry = On.Attempts.at(Run);
   const TaskState *Task = findTask(Cell, Run.Task);
-  if (What.Phase == AttemptPhase::Planned || !Task)
+  if (Entry.Phase == AttemptPhase::Planned || !Task)
     return;
-  const TimePoint Began = What.StartedAt == TimePoint{} ? What.Since : What.StartedAt;
+  const TimePoint Began = Entry.StartedAt == TimePoint{} ? Entry.Since : Entry.StartedAt;
   const auto Ran = std::chrono::duration_cast<Milliseconds>(On.ReportAskedAt - Began);
   Out.LostRuns.push_back({Run, On.Info.Id, How, std::max(Ran, Milliseconds(0)),
                           Task->StartupCrashes, unconfirmedCrashes(*Task), Task->WeightedCrashes});
 }
 
 // True if the run, of which nothing was heard since, may have been done by then.
-bool mayBeDone(const Attempt &What, TimePoint Then) {
-  return What.StartedAt != TimePoint{} && Then - What.StartedAt >= What.Estimate * LeastDonePart;
+bool mayBeDone(const Attempt &Entry, TimePoint Then) {
+  return Entry.StartedAt != TimePoint{} &&
+         Then - Entry.StartedAt >= Entry.Estimate * MinDoneFraction;
 }
 
 // True if the run was there when its worker went. An order without an answer may have come too
 // late, and what was seen long before may have been over.
-bool wasThere(const Worker &On, const Attempt &What, TimePoint Now) {
-  const TimePoint SilentAt = On.SilentSince >= What.SeenAt ? On.SilentSince : Now;
+bool wasRunningAtLoss(const Worker &On, const Attempt &Entry, TimePoint Now) {
+  const TimePoint SilentAt = On.SilentSince >= Entry.SeenAt ? On.SilentSince : Now;
   const auto Least = std::max<std::chrono::duration<double, std::milli>>(
-      What.Estimate * LeastDonePart, EndHeardTime);
-  return What.SeenAt != TimePoint{} && SilentAt - What.SeenAt < Least;
+      Entry.Estimate * MinDoneFraction, EndReportDelay);
+  return Entry.SeenAt != TimePoint{} && SilentAt - Entry.SeenAt < Least;
 }
 
 // True if it was there and can't have been over when its worker fell silent: an end just before
 // that is heard of by nobody. Estimates are off by half.
-bool wasBeginning(const Worker &On, const Attempt &What, TimePoint Now) {
-  const TimePoint SilentAt = On.SilentSince >= What.SeenAt ? On.SilentSince : Now;
+bool wasInStartupAtLoss(const Worker &On, const Attempt &Entry, TimePoint Now) {
+  const TimePoint SilentAt = On.SilentSince >= Entry.SeenAt ? On.SilentSince : Now;
   const auto Least = std::max<std::chrono::duration<double, std::milli>>(
-      What.Estimate * LeastDonePart, ShortestRun);
-  return wasThere(On, What, Now) && SilentAt - What.StartedAt < Least;
+      Entry.Estimate * MinDoneFraction, MinRunTime);
+  return wasRunningAtLoss(On, Entry, Now) && SilentAt - Entry.StartedAt < Least;
 }
 
 // The worker has crashed under the run, which was the only one there or not.
-void countLoss(CellState &Cell, const Worker &On, const RunKey &Run, WorkerEnd How, bool Alone,
-               TimePoint Now, Effects &Out) {
-  const Attempt &What = On.Attempts.at(Run);
+void countCrash(CellState &Cell, const Worker &On, const RunKey &Run, WorkerEnd How, bool Alone,
+                TimePoint Now, Effects &Out) {
+  const Attempt &Entry = On.Attempts.at(Run);
   TaskState *Task = findTask(Cell, Run.Task);
-  if (!Task || What.Phase == AttemptPhase::Planned)
+  if (!Task || Entry.Phase == AttemptPhase::Planned)
     return;
-  if (How == WorkerEnd::Replaced && wasThere(On, What, Now)) // kept with the next save of its job
-    Task->WeightedCrashes += Alone ? LossAlone : LossBesideOthers;
-  if (isBeginning(What) && wasBeginning(On, What, Now))
+  if (How == WorkerEnd::Replaced &&
+      wasRunningAtLoss(On, Entry, Now)) // kept with the next save of its job
+    Task->WeightedCrashes += Alone ? SoleRunCrashWeight : SharedCrashWeight;
+  if (isInStartup(Entry) && wasInStartupAtLoss(On, Entry, Now))
     confirmCrash(Cell, Run.Task, On, How, Now, Out);
-  else if (isBeginning(What) && !countsCrashOf(*Task, On))
+  else if (isInStartup(Entry) && !countsCrashOf(*Task, On))
     suspectCrash(Cell, Run.Task, On, Now, Out);
 }
 } // namespace
@@ -126,27 +132,27 @@
 
 bool hasNoOtherStartups(const Worker &On, const RunKey *Run) {
   return std::all_of(On.Attempts.begin(), On.Attempts.end(), [&](const auto &Entry) {
-    return !isBeginning(Entry.second) || (Run && Entry.first == *Run);
+    return !isInStartup(Entry.second) || (Run && Entry.first == *Run);
   });
 }
 
-void noteRunListed(CellState &Cell, Worker &On, const RunKey &Run, Attempt &What,
+void noteRunListed(CellState &Cell, Worker &On, const RunKey &Run, Attempt &Entry,
                    const ReportTimes &When, Effects &Out) {
-  What.SeenAt = std::max(What.SeenAt, When.AskedAt);
+  Entry.SeenAt = std::max(Entry.SeenAt, When.AskedAt);
   const StepState *Step = findStep(Cell, Run.Task.Step);
-  if (!Step || What.Stands || What.Phase != AttemptPhase::Running)
+  if (!Step || Entry.Stands || Entry.Phase != AttemptPhase::Running)
     return;
-  if (!What.FirstListed)
-    What.FirstListed = When.WorkerClock;
-  if (When.AskedAt - What.StartedAt < Cell.Limits.StartupTime &&
-      When.WorkerClock - *What.FirstListed < Cell.Limits.StartupTime)
+  if (!Entry.FirstListed)
+    Entry.FirstListed = When.WorkerClock;
+  if (When.AskedAt - Entry.StartedAt < Cell.Limits.StartupTime &&
+      When.WorkerClock - *Entry.FirstListed < Cell.Limits.StartupTime)
     return;
   // Members of a gang begin their work when the last of them has come.
-  if (Step->Spec->Gang && What.Percent == 0)
+  if (Step->Spec->Gang && Entry.Percent == 0)
     return;
-  What.Stands = true;
-  On.IsolatedStarts -= What.OnTrial ? 1 : 0;
-  What.OnTrial = false;
+  Entry.Stands = true;
+  On.IsolatedStarts -= Entry.OnTrial ? 1 : 0;
+  Entry.OnTrial = false;
   clearCrashCount(Cell, Run.Task, Out);
 }
 
@@ -165,9 +171,9 @@
   On.HasUncountedSilence = false;
   if (On.SilentSince == TimePoint{})
     On.SilentSince = Now;
-  for (auto &[Run, What] : On.Attempts) {
+  for (auto &[Run, Entry] : On.Attempts) {
     const TaskState *Task = findTask(Cell, Run.Task);
-    if (Task && isBeginning(What) && !countsCrashOf(*Task, On))
+    if (Task && isInStartup(Entry) && !countsCrashOf(*Task, On))
       suspectCrash(Cell, Run.Task, On, Now, Out);
   }
 }
@@ -189,21 +195,21 @@
   if (wasLeaving(On))
     retractSuspicions(Cell, On, Now, Out);
   std::vector<RunKey> Lost;
-  for (const auto &[Run, What] : On.Attempts)
+  for (const auto &[Run, Entry] : On.Attempts)
     Lost.push_back(Run);
   for (const RunKey &Run : Lost) {
     if (On.Attempts.at(Run).Phase == AttemptPhase::Planned)
       clearPendingStart(Cell, Run.Task, Out);
     if (Crashed)
-      countLoss(Cell, On, Run, How, Lost.size() == 1, Now, Out);
-    noteLoss(Cell, On, Run, How, Out);
+      countCrash(Cell, On, Run, How, Lost.size() == 1, Now, Out);
+    noteLostRun(Cell, On, Run, How, Out);
     unbook(Cell, On, Run);
     runEnded(Cell, Run, RunEnd::Lapsed, "", &On, Now, Out);
   }
   if (How == WorkerEnd::LeaseExpired)
     return; // it is listed: its link is cut rather
   for (const RunKey &Run : Lost)
-    giveUpIfDue(Cell, Run.Task, Now, Out);
+    giveUpIfCrashing(Cell, Run.Task, Now, Out);
 }
 
 // A silent worker that the platform still lists is alive, and lists its ends when it can be reached
@@ -212,10 +218,10 @@
 void delayPossiblyDoneTasks(CellState &Cell, const Worker &On, TimePoint Now) {
   if (!On.Listed)
     return;
-  for (const auto &[Run, What] : On.Attempts) {
+  for (const auto &[Run, Entry] : On.Attempts) {
     StepState *Step = findStep(Cell, Run.Task.Step);
-    if (Step && Run.Task.Index < Step->Tasks.size() && mayBeDone(What, Now))
-      Step->Tasks[Run.Task.Index].NotBefore = Now + DoneWait;
+    if (Step && Run.Task.Index < Step->Tasks.size() && mayBeDone(Entry, Now))
+      Step->Tasks[Run.Task.Index].NotBefore = Now + PossiblyDoneDelay;
   }
 }
 
@@ -230,7 +236,7 @@
           if (Step.Tasks[I].StartupCrashes > 0)
             Counted.push_back({Step.Key, I});
   for (const TaskKey &Key : Counted)
-    giveUpIfDue(Cell, Key, Now, Out);
+    giveUpIfCrashing(Cell, Key, Now, Out);
 }
 
 void pollIsolatedStarts(const CellState &Cell, const Worker &On, TimePoint Now, Effects &Out) {
--- a/src/scheduler/crashes.h
+++ b/src/scheduler/crashes.h
@@ -33,7 +33,7 @@
 };
 
 /// The worker lists the run.
-void noteRunListed(CellState &Cell, Worker &On, const RunKey &Run, Attempt &What,
+void noteRunListed(CellState &Cell, Worker &On, const RunKey &Run, Attempt &Entry,
                    const ReportTimes &When, Effects &Out);
 /// The worker lists the end of a run.
 void noteEndListed(CellState &Cell, const EndedRun &End, Effects &Out);
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -8,36 +8,36 @@
 namespace valveshelf::sched {
 namespace {
 // Work on workers that leave is looked for this often; they announce it two seconds before or more.
-constexpr Milliseconds LeaveLookEvery{100};
+constexpr Milliseconds DrainCheckInterval{100};
 // Some leave without a word: a worker that answers and is missing in the list for so long is taken
 // to leave. Entries that lapsed with the store's outage are back within two seconds of its end.
-constexpr Milliseconds MissingTime{2500};
+constexpr Milliseconds UnlistedGraceTime{2500};
 
 // A lasting task that was started is at work from when it says so.
-constexpr int AtWorkPercent = 100;
+constexpr int ServingPercent = 100;
 
 // Tasks of a lasting step that do not serve just now.
-uint32_t notAtWork(const StepState &Step) {
-  uint32_t Away = 0;
+uint32_t countNotServing(const StepState &Step) {
+  uint32_t NotServing = 0;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    const Attempt *What = attemptOf(Step, I);
+    const Attempt *Entry = attemptOf(Step, I);
     const bool Serves =
-        What && What->Phase == AttemptPhase::Running && What->Percent >= AtWorkPercent;
-    Away += Serves ? 0 : 1;
+        Entry && Entry->Phase == AttemptPhase::Running && Entry->Percent >= ServingPercent;
+    NotServing += Serves ? 0 : 1;
   }
-  return Away;
+  return NotServing;
 }
 
 // True if the run would be lost with its worker and can go on elsewhere.
-bool shouldMove(const Pass &In, const StepState &Step, const Worker &On, const Attempt &What) {
+bool shouldMove(const Pass &In, const StepState &Step, const Worker &On, const Attempt &Entry) {
   const StepSpec &Spec = *Step.Spec;
-  if (What.Phase != AttemptPhase::Running || Spec.Gang)
+  if (Entry.Phase != AttemptPhase::Running || Spec.Gang)
     return false;
   if (Spec.Lasting)
-    return Spec.MayMiss == 0 || notAtWork(Step) < Spec.MayMiss;
+    return Spec.MayMiss == 0 || countNotServing(Step) < Spec.MayMiss;
   if (!Spec.Checkpoints)
     return false;
-  const Milliseconds Left = What.Estimate * (100 - What.Percent) / 100;
+  const Milliseconds Left = Entry.Estimate * (100 - Entry.Percent) / 100;
   // Nobody says when a zone that is emptied goes: what would take longer to move than to end stays.
   return On.Info.Draining || !On.InEvacuatedZone ? In.Now + Left > On.LeavesAt
                                                  : Left > In.Cell.Limits.YieldMargin;
@@ -57,7 +57,7 @@
 }
 
 bool isLeaving(const Pass &In, const Worker &On) {
-  const bool Missing = !On.Listed && In.Now - On.UnlistedAt > MissingTime;
+  const bool Missing = !On.Listed && In.Now - On.UnlistedAt > UnlistedGraceTime;
   return On.HasReported && On.IsResponsive && (On.Info.Draining || On.InEvacuatedZone || Missing);
 }
 
@@ -80,13 +80,13 @@
 void moveFromLeaving(Pass &In) {
   if (In.Now < In.Cell.NextLeaveLook)
     return;
-  In.Cell.NextLeaveLook = In.Now + LeaveLookEvery;
+  In.Cell.NextLeaveLook = In.Now + DrainCheckInterval;
   for (auto &[Id, On] : In.Cell.Workers) {
     if (!isLeaving(In, On))
       continue;
     std::vector<RunKey> Runs; // a stop may remove entries of the map
     Runs.reserve(On.Attempts.size());
-    for (const auto &[Run, What] : On.Attempts)
+    for (const auto &[Run, Entry] : On.Attempts)
       Runs.push_back(Run);
     for (const RunKey &Run : Runs)
       moveIfNeeded(In, On, Run);
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -11,24 +11,24 @@
 
 namespace {
 // A stop whose answer is lost is ordered again after this time; a few round trips.
-constexpr Milliseconds StopAgain{500};
+constexpr Milliseconds StopRetryDelay{500};
 // How often a start without an answer is sent before it is stopped instead.
-constexpr int MaxSends = 2;
+constexpr int MaxStartSends = 2;
 // A run that shows the same progress in two reports so far apart stands still: a sixth of its time,
 // in which a worker that is eight times slower still shows some.
-constexpr Milliseconds LeastStuckTime{2000};
-constexpr int StuckPart = 6;
+constexpr Milliseconds MinStallTime{2000};
+constexpr int StallEstimateDivisor = 6;
 // Without an estimate.
-constexpr Milliseconds UnknownStuckTime{10000};
+constexpr Milliseconds DefaultStallTime{10000};
 // The members of a gang that is done end within this time, or are stopped.
-constexpr Milliseconds GangEndTime{1500};
+constexpr Milliseconds GangEndTimeout{1500};
 // Runs that stand still are looked for this often; a fraction of the time above.
-constexpr Milliseconds StuckLookEvery{500};
+constexpr Milliseconds StallCheckInterval{500};
 // A run that fails within a tenth of its estimate failed at once. Those that fail by their own
 // fault do so somewhere in their work.
-constexpr int AtOncePart = 10;
+constexpr int EarlyFailureDivisor = 10;
 // A worker that is busy or can't be reached is left alone for this time.
-constexpr Milliseconds ShortPause{500};
+constexpr Milliseconds BusyBackoff{500};
 
 Worker *findWorker(CellState &Cell, const std::string &Id) {
   const auto Found = Cell.Workers.find(Id);
@@ -36,7 +36,7 @@
 }
 
 // Unheard workers keep the old tasks of their service back; with the last one heard they are free.
-void heard(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out) {
+void noteWorkerKnown(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out) {
   const auto Found = Cell.Unheard.find(Id);
   if (Found == Cell.Unheard.end())
     return;
@@ -61,9 +61,9 @@
 }
 
 // Counts the attempt against what its organisation may have running.
-void charge(Attempt &What, OrganisationState *Owner, const Resources &Amount) {
-  What.Owner = Owner;
-  What.Charge = Amount;
+void chargeAttempt(Attempt &Entry, OrganisationState *Owner, const Resources &Amount) {
+  Entry.Owner = Owner;
+  Entry.Charge = Amount;
   if (Owner)
     Owner->Running += Amount;
 }
@@ -81,7 +81,7 @@
     Stray.StartedAt = Stray.Since = Now;
     // It may be as large as the worker.
     if (const auto Was = Cell.Ended.find(Row.Run.Task.Step.Job); Was != Cell.Ended.end())
-      charge(Stray, organisationNamed(Cell, Was->second.Organisation), On.Info.Capacity);
+      chargeAttempt(Stray, organisationNamed(Cell, Was->second.Organisation), On.Info.Capacity);
     stopAttempt(Cell, On, Row.Run, "its job has ended", Now, Out);
     return;
   }
@@ -105,22 +105,22 @@
   Extra.Need = Step->Spec->Need;
   Extra.StartedAt = Extra.Since = Now;
   On.Booked += Extra.Need;
-  charge(Extra, Of.Owner, Step->Spec->Need);
+  chargeAttempt(Extra, Of.Owner, Step->Spec->Need);
   stopAttempt(Cell, On, Row.Run, "the task does not need it", Now, Out);
 }
 
-void noteProgress(CellState &Cell, Worker &On, const ActiveRun &Row, Attempt &What,
+void noteProgress(CellState &Cell, Worker &On, const ActiveRun &Row, Attempt &Entry,
                   const ReportTimes &When, Effects &Out) {
   const TimePoint Now = When.ReadAt;
-  if (What.Phase == AttemptPhase::Starting || What.Phase == AttemptPhase::Uncertain) {
+  if (Entry.Phase == AttemptPhase::Starting || Entry.Phase == AttemptPhase::Uncertain) {
     setPhase(Cell, On, Row.Run, AttemptPhase::Running, Now);
-    What.StartedAt = What.PercentChanged = Now;
+    Entry.StartedAt = Entry.PercentChanged = Now;
   }
-  if (What.Percent != Row.Percent) {
-    What.Percent = Row.Percent;
-    What.PercentChanged = Now;
+  if (Entry.Percent != Row.Percent) {
+    Entry.Percent = Row.Percent;
+    Entry.PercentChanged = Now;
   }
-  noteRunListed(Cell, On, Row.Run, What, When, Out);
+  noteRunListed(Cell, On, Row.Run, Entry, When, Out);
   StepState *Step = findStep(Cell, Row.Run.Task.Step);
   if (!Step || Row.Run.Task.Index >= Step->Tasks.size())
     return;
@@ -131,26 +131,26 @@
 
 // True if the run failed long before its work could be done, and its task had not failed before: a
 // task that fails everywhere says nothing of the worker.
-bool failedAtOnce(CellState &Cell, const Worker &On, const RunKey &Run, TimePoint Now) {
+bool failedEarly(CellState &Cell, const Worker &On, const RunKey &Run, TimePoint Now) {
   const auto Found = On.Attempts.find(Run);
   const StepState *Step = findStep(Cell, Run.Task.Step);
   if (Found == On.Attempts.end() || !Step || Run.Task.Index >= Step->Tasks.size())
     return false;
-  const Attempt &What = Found->second;
+  const Attempt &Entry = Found->second;
   const bool First = Step->Tasks[Run.Task.Index].FailedRuns.empty() && Step->GangFailures.empty();
-  return First && What.StartedAt != TimePoint{} &&
-         (Now - What.StartedAt) * AtOncePart < What.Estimate;
+  return First && Entry.StartedAt != TimePoint{} &&
+         (Now - Entry.StartedAt) * EarlyFailureDivisor < Entry.Estimate;
 }
 
 // A worker whose runs all fail is set aside for a while, so that tasks don't use up their
 // attempts on it; after one that failed at once, for a short one. Both belong to the rule that a
 // task does not go back to where it failed (hasJustFailedOn has the figure).
-void judge(CellState &Cell, Worker &On, const EndedRun &End, TimePoint Now) {
+void updateQuarantine(CellState &Cell, Worker &On, const EndedRun &End, TimePoint Now) {
   if (End.How == RunEnd::Done)
     On.ConsecutiveFailures = 0;
   if (End.How != RunEnd::Failed)
     return;
-  if (failedAtOnce(Cell, On, End.Run, Now))
+  if (failedEarly(Cell, On, End.Run, Now))
     On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + Cell.Limits.NotBackTime);
   if (++On.ConsecutiveFailures < Cell.Limits.MaxFailuresInARow)
     return;
@@ -158,13 +158,13 @@
   On.ConsecutiveFailures = Cell.Limits.MaxFailuresInARow - 1;
 }
 
-void readEnds(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint Now,
-              Effects &Out) {
+void processEnds(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint Now,
+                 Effects &Out) {
   for (const EndedRun &End : Report.Ended) {
     if (End.Number <= On.LastEndNumber)
       continue;
     On.LastEndNumber = End.Number;
-    judge(Cell, On, End, Now);
+    updateQuarantine(Cell, On, End, Now);
     noteEndListed(Cell, End, Out);
     unbook(Cell, On, End.Run);
     runEnded(Cell, End.Run, End.How, End.Checkpoint, &On, Now, Out);
@@ -180,15 +180,15 @@
 }
 
 // Runs that were stopped without ever having begun are in no list.
-void dropNeverBegun(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint AskedAt,
-                    TimePoint Now, Effects &Out) {
+void dropNeverStarted(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint AskedAt,
+                      TimePoint Now, Effects &Out) {
   const auto IsActive = [&](const RunKey &Run) {
     return std::any_of(Report.Active.begin(), Report.Active.end(),
                        [&](const ActiveRun &Row) { return Row.Run == Run; });
   };
   std::vector<RunKey> Gone;
-  for (const auto &[Run, What] : On.Attempts)
-    if (What.Phase == AttemptPhase::Stopping && What.StopAcked && AskedAt >= What.StopAckedAt &&
+  for (const auto &[Run, Entry] : On.Attempts)
+    if (Entry.Phase == AttemptPhase::Stopping && Entry.StopAcked && AskedAt >= Entry.StopAckedAt &&
         !IsActive(Run))
       Gone.push_back(Run);
   for (const RunKey &Run : Gone) {
@@ -206,15 +206,15 @@
       stopAttempt(Cell, *Step.Tasks[I].AssignedWorker, {{Step.Key, I}, Run}, Why, Now, Out);
 }
 
-void refused(CellState &Cell, Worker &On, const RunKey &Run, StartResult What, TimePoint Now,
-             Effects &Out) {
+void startRefused(CellState &Cell, Worker &On, const RunKey &Run, StartResult Answer, TimePoint Now,
+                  Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (AdviceState::Permit *Used = Step ? permitOn(*Step, On) : nullptr;
-      Used && What == StartResult::RefusedTicket)
+      Used && Answer == StartResult::RefusedTicket)
     Used->ValidUntil = Now;
-  if (What == StartResult::RefusedBusy || What == StartResult::NotSent)
-    On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + ShortPause);
-  if (What == StartResult::RefusedRoom)
+  if (Answer == StartResult::RefusedBusy || Answer == StartResult::NotSent)
+    On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + BusyBackoff);
+  if (Answer == StartResult::RefusedRoom)
     Out.Looks.push_back(On.Info.Id);
   noteNeverStarted(Cell, Run.Task, On, Out);
   unbook(Cell, On, Run);
@@ -225,11 +225,11 @@
   queueStep(Cell, Cell.Jobs.at(Step->Key.Job), *Step, Now);
 }
 
-void sendAgain(CellState &Cell, Worker &On, const RunKey &Run, Attempt &What, Effects &Out) {
+void resendStart(CellState &Cell, Worker &On, const RunKey &Run, Attempt &Entry, Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
   const std::string &Checkpoint = Step->Tasks[Step->Spec->Gang ? 0 : Run.Task.Index].Checkpoint;
   const AdviceState::Permit *Used = permitOn(*Step, On);
-  ++What.Sends;
+  ++Entry.Sends;
   Out.Starts.push_back({On.Info.Id, Run, Cell.Jobs.at(Run.Task.Step.Job).Spec, Checkpoint,
                         Used ? Used->Ticket : std::string()});
 }
@@ -245,7 +245,7 @@
   Made.Need = Step.Spec->Need;
   if (Step.Spec->Fills)
     Made.Need.MilliCores = 0;
-  charge(Made, Of.Owner, Step.Spec->Need);
+  chargeAttempt(Made, Of.Owner, Step.Spec->Need);
   Made.Priority = Of.IsExcess ? ExcessPriority : Of.Spec->Priority;
   Made.IsUrgent = Of.Spec->Priority == 0;
   Cell.UrgentAttempts += Made.IsUrgent ? 1 : 0;
@@ -265,15 +265,15 @@
 }
 
 void setPhase(CellState &Cell, Worker &On, const RunKey &Run, AttemptPhase Phase, TimePoint Now) {
-  Attempt &What = On.Attempts.at(Run);
-  if (What.Phase == AttemptPhase::Planned && Phase != AttemptPhase::Planned) {
-    On.Planned -= What.Need;
-    On.Booked += What.Need;
+  Attempt &Entry = On.Attempts.at(Run);
+  if (Entry.Phase == AttemptPhase::Planned && Phase != AttemptPhase::Planned) {
+    On.Planned -= Entry.Need;
+    On.Booked += Entry.Need;
     if (StepState *Step = findStep(Cell, Run.Task.Step))
       --Step->Planned;
   }
-  What.Phase = Phase;
-  What.Since = Now;
+  Entry.Phase = Phase;
+  Entry.Since = Now;
 }
 
 void unbook(CellState &Cell, Worker &On, const RunKey &Run) {
@@ -323,7 +323,7 @@
 }
 
 // The worker of that id, which may be new.
-static Worker &makeWorker(CellState &Cell, const std::string &Id) {
+static Worker &findOrAddWorker(CellState &Cell, const std::string &Id) {
   const auto [Place, New] = Cell.Workers.try_emplace(Id);
   if (New) {
     Place->second.Slot = static_cast<uint32_t>(Cell.Slots.size());
@@ -334,7 +334,7 @@
 
 void workerListed(CellState &Cell, const WorkerInfo &Info, TimePoint Now) {
   const bool New = !Cell.Workers.count(Info.Id);
-  Worker &On = makeWorker(Cell, Info.Id);
+  Worker &On = findOrAddWorker(Cell, Info.Id);
   On.Info = Info;
   On.Listed = true;
   On.LeavesAt = Now + Info.TimeLeft;
@@ -353,7 +353,7 @@
 }
 
 void workerMayHoldRuns(CellState &Cell, const WorkerInfo &Info, TimePoint LeaseEnd) {
-  Worker &On = makeWorker(Cell, Info.Id);
+  Worker &On = findOrAddWorker(Cell, Info.Id);
   if (On.Info.Id.empty())
     On.Info = Info;
   On.IsRecorded = On.IsSelected = true;
@@ -369,7 +369,7 @@
   On->IsResponsive = true;
   On->ReportAskedAt = std::max(On->ReportAskedAt, AskedAt);
   retractSuspicions(Cell, *On, AskedAt, Out);
-  readEnds(Cell, *On, Report, Now, Out);
+  processEnds(Cell, *On, Report, Now, Out);
   for (const ActiveRun &Row : Report.Active) {
     const auto Found = On->Attempts.find(Row.Run);
     if (Found == On->Attempts.end())
@@ -377,9 +377,9 @@
     else
       noteProgress(Cell, *On, Row, Found->second, {AskedAt, Now, Report.WorkerClock}, Out);
   }
-  dropNeverBegun(Cell, *On, Report, AskedAt, Now, Out);
+  dropNeverStarted(Cell, *On, Report, AskedAt, Now, Out);
   On->HasReported = true;
-  heard(Cell, Id, Now, Out);
+  noteWorkerKnown(Cell, Id, Now, Out);
 }
 
 void workerSilent(CellState &Cell, const std::string &Id) {
@@ -402,45 +402,45 @@
   dropAttempts(Cell, *On, How, Now, Out);
   Cell.Slots[On->Slot] = nullptr;
   Cell.Workers.erase(Id);
-  heard(Cell, Id, Now, Out);
+  noteWorkerKnown(Cell, Id, Now, Out);
 }
 
-void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult What,
+void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult Answer,
                    TimePoint Now, Effects &Out) {
-  if (What == StartResult::RefusedFence)
+  if (Answer == StartResult::RefusedFence)
     Out.Deposed = true;
   Worker *On = findWorker(Cell, Id);
   if (!On)
     return;
   const auto Found = On->Attempts.find(Run);
-  if (What == StartResult::OtherLife) {
+  if (Answer == StartResult::OtherLife) {
     if (Found != On->Attempts.end() && Found->second.Phase == AttemptPhase::Starting)
-      refused(Cell, *On, Run, What, Now, Out);
+      startRefused(Cell, *On, Run, Answer, Now, Out);
     return workerEnded(Cell, Id, Now, Out);
   }
-  On->IsResponsive = What != StartResult::Unknown && What != StartResult::NotSent;
+  On->IsResponsive = Answer != StartResult::Unknown && Answer != StartResult::NotSent;
   if (Found == On->Attempts.end())
     return;
-  Attempt &Which = Found->second;
-  if (Which.Phase != AttemptPhase::Starting && Which.Phase != AttemptPhase::Uncertain)
+  Attempt &Entry = Found->second;
+  if (Entry.Phase != AttemptPhase::Starting && Entry.Phase != AttemptPhase::Uncertain)
     return;
-  if (What == StartResult::Started) {
+  if (Answer == StartResult::Started) {
     setPhase(Cell, *On, Run, AttemptPhase::Running, Now);
-    Which.StartedAt = Which.PercentChanged = Which.SeenAt = Now;
+    Entry.StartedAt = Entry.PercentChanged = Entry.SeenAt = Now;
     if (findStep(Cell, Run.Task.Step))
       Cell.Jobs.at(Run.Task.Step.Job).Begun = true;
     return;
   }
   // Not again to a worker that is to be left empty by now; what the first order did is found out by
   // a stop.
-  if (What == StartResult::Unknown && Which.Sends < MaxSends && takesWork(*On) &&
+  if (Answer == StartResult::Unknown && Entry.Sends < MaxStartSends && takesWork(*On) &&
       findStep(Cell, Run.Task.Step)) {
     setPhase(Cell, *On, Run, AttemptPhase::Uncertain, Now);
-    return sendAgain(Cell, *On, Run, Which, Out);
+    return resendStart(Cell, *On, Run, Entry, Out);
   }
   // After an order without an answer a refusal proves nothing about that order.
-  if (What != StartResult::Unknown && Which.Sends == 1)
-    return refused(Cell, *On, Run, What, Now, Out);
+  if (Answer != StartResult::Unknown && Entry.Sends == 1)
+    return startRefused(Cell, *On, Run, Answer, Now, Out);
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (Step && Step->Spec->Gang)
     return stopGang(Cell, *Step, Run.Run, "a member's start is uncertain", Now, Out);
@@ -456,41 +456,41 @@
   const auto Found = On->Attempts.find(Run);
   if (Found == On->Attempts.end() || !Acked)
     return;
-  Attempt &What = Found->second;
-  What.StopAcked = true;
-  What.StopAckedAt = Now;
-  if (What.StartedAt == TimePoint{})
+  Attempt &Entry = Found->second;
+  Entry.StopAcked = true;
+  Entry.StopAckedAt = Now;
+  if (Entry.StartedAt == TimePoint{})
     Out.Looks.push_back(Id);
 }
 
 // Stops that have to be ordered again or whose end has to be looked for.
-static void tickStops(const CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
+static void retryStops(const CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
   bool Look = false;
-  for (auto &[Run, What] : On.Attempts) {
-    if (What.Phase != AttemptPhase::Stopping || Now - What.StopSent < StopAgain)
+  for (auto &[Run, Entry] : On.Attempts) {
+    if (Entry.Phase != AttemptPhase::Stopping || Now - Entry.StopSent < StopRetryDelay)
       continue;
-    if (What.StopAcked && Now - What.StopAckedAt < Cell.Limits.StopTime + StopAgain)
+    if (Entry.StopAcked && Now - Entry.StopAckedAt < Cell.Limits.StopTime + StopRetryDelay)
       continue;
-    What.StopSent = Now;
-    if (!What.StopAcked)
+    Entry.StopSent = Now;
+    if (!Entry.StopAcked)
       Out.Stops.push_back({On.Info.Id, Run, "the stop was not confirmed"});
-    Look = Look || What.StopAcked;
+    Look = Look || Entry.StopAcked;
   }
   if (Look)
     Out.Looks.push_back(On.Info.Id);
 }
 
-static Milliseconds stuckTime(const StepSpec &Spec) {
+static Milliseconds stallTime(const StepSpec &Spec) {
   if (Spec.Estimate.count() == 0)
-    return UnknownStuckTime;
-  return std::max(LeastStuckTime, Spec.Estimate / StuckPart);
+    return DefaultStallTime;
+  return std::max(MinStallTime, Spec.Estimate / StallEstimateDivisor);
 }
 
 // Members of gangs that are done and have not ended with the others.
-static void tickLeftOver(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
+static void stopLeftoverGangMembers(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
   std::vector<RunKey> Left;
-  for (const auto &[Run, What] : On.Attempts)
-    if (What.EndsSince != TimePoint{} && Now - What.EndsSince > GangEndTime)
+  for (const auto &[Run, Entry] : On.Attempts)
+    if (Entry.EndsSince != TimePoint{} && Now - Entry.EndsSince > GangEndTimeout)
       Left.push_back(Run);
   for (const RunKey &Run : Left)
     stopAttempt(Cell, On, Run, "the others of its gang have ended", Now, Out);
@@ -498,25 +498,25 @@
 
 // True if the task makes no progress for the first time. One that stands still wherever it runs
 // says nothing of the workers; each would be set aside for four seconds in turn.
-static bool standsStillFirst(CellState &Cell, const RunKey &Run) {
+static bool noteFirstStall(CellState &Cell, const RunKey &Run) {
   TaskState &Task = findStep(Cell, Run.Task.Step)->Tasks[Run.Task.Index];
   return !std::exchange(Task.HasStalled, true);
 }
 
 // Runs that make no progress are stopped and go on elsewhere.
-static void tickStuck(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
-  std::vector<RunKey> Stuck;
-  for (const auto &[Run, What] : On.Attempts) {
+static void stopStalledRuns(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
+  std::vector<RunKey> Stalled;
+  for (const auto &[Run, Entry] : On.Attempts) {
     const StepState *Step = findStep(Cell, Run.Task.Step);
-    const bool Watched = What.Phase == AttemptPhase::Running && Step && !Step->Spec->Lasting &&
-                         What.EndsSince == TimePoint{};
-    if (Watched && What.Percent < 100 &&
-        On.ReportAskedAt - What.PercentChanged > stuckTime(*Step->Spec))
-      Stuck.push_back(Run);
+    const bool Watched = Entry.Phase == AttemptPhase::Running && Step && !Step->Spec->Lasting &&
+                         Entry.EndsSince == TimePoint{};
+    if (Watched && Entry.Percent < 100 &&
+        On.ReportAskedAt - Entry.PercentChanged > stallTime(*Step->Spec))
+      Stalled.push_back(Run);
   }
-  for (const RunKey &Run : Stuck) {
+  for (const RunKey &Run : Stalled) {
     stopAttempt(Cell, On, Run, "it makes no progress", Now, Out);
-    if (standsStillFirst(Cell, Run))
+    if (noteFirstStall(Cell, Run))
       On.QuarantinedUntil = Now + Cell.Limits.SetAside;
   }
 }
@@ -528,7 +528,7 @@
 
 // A worker that has left and is known to hold nothing. Kept, its record would make the scheduler
 // after this one wait for its lease before it places anything that was accepted earlier (6.8 s).
-static bool mayBeLetGo(const Worker &On) {
+static bool canBeForgotten(const Worker &On) {
   return !On.Listed && On.HasReported && On.Attempts.empty() && On.UnsavedEnds.empty();
 }
 
@@ -540,12 +540,12 @@
 
 // False for a service that the configuration doesn't name: the entry is another writer's, and its
 // address somebody else's.
-static bool hasWorkFor(const CellState &Cell, const WorkerInfo &Info) {
+static bool isConfiguredService(const CellState &Cell, const WorkerInfo &Info) {
   return Cell.Services.empty() || Cell.Services.count(Info.Service) > 0;
 }
 
 // A large fleet is not used as a whole: what is idle beyond some spare costs nothing.
-static void wantWorkers(CellState &Cell, Effects &Out) {
+static void selectWorkers(CellState &Cell, Effects &Out) {
   uint32_t Spare = 0;
   uint32_t Coming = 0; // wanted, and not ready yet
   for (const auto &[Id, On] : Cell.Workers) {
@@ -560,7 +560,7 @@
   Missing = std::min(Missing, Cell.Limits.MoreWorkers);
   for (auto At = Cell.Workers.begin(); At != Cell.Workers.end() && Missing > 0; ++At) {
     Worker &On = At->second;
-    if (On.IsSelected || !takesWork(On) || !hasWorkFor(Cell, On.Info))
+    if (On.IsSelected || !takesWork(On) || !isConfiguredService(Cell, On.Info))
       continue;
     On.IsSelected = Out.Wants = true;
     --Missing;
@@ -572,31 +572,31 @@
   Cell.WallAt = Now;
   if (!Cell.Loaded)
     return;
-  const bool LookForStuck = Now >= Cell.NextStuckLook;
-  if (LookForStuck)
-    Cell.NextStuckLook = Now + StuckLookEvery;
+  const bool CheckForStalls = Now >= Cell.NextStuckLook;
+  if (CheckForStalls)
+    Cell.NextStuckLook = Now + StallCheckInterval;
   std::vector<std::string> Over;
   for (auto &[Id, On] : Cell.Workers) {
     countSilence(Cell, On, Now, Out);
     const bool Lapsed = !On.IsResponsive && Now > On.LeaseEnd;
-    if ((Lapsed && !On.Listed) || mayBeLetGo(On))
+    if ((Lapsed && !On.Listed) || canBeForgotten(On))
       Over.push_back(Id);
     else if (Lapsed) {
       delayPossiblyDoneTasks(Cell, On, Now);
       dropAttempts(Cell, On, WorkerEnd::LeaseExpired, Now, Out);
-      heard(Cell, Id, Now, Out);
+      noteWorkerKnown(Cell, Id, Now, Out);
     } else if (On.IsResponsive) {
-      tickStops(Cell, On, Now, Out);
-      if (LookForStuck) {
-        tickLeftOver(Cell, On, Now, Out);
-        tickStuck(Cell, On, Now, Out);
+      retryStops(Cell, On, Now, Out);
+      if (CheckForStalls) {
+        stopLeftoverGangMembers(Cell, On, Now, Out);
+        stopStalledRuns(Cell, On, Now, Out);
         pollIsolatedStarts(Cell, On, Now, Out);
       }
     }
   }
   for (const std::string &Id : Over)
     workerEnded(Cell, Id, Now, Out, WorkerEnd::Unlisted);
-  wantWorkers(Cell, Out);
+  selectWorkers(Cell, Out);
   tickJobs(Cell, Now);
 }
 
