--- a/src/scheduler/capacity_test.cpp
+++ b/src/scheduler/capacity_test.cpp
@@ -16,7 +16,7 @@
 // One worker of ten cores.
 struct OneWorker : PlacementScene {
   OneWorker() : PlacementScene(0) { addWorker("w", {10000, 100000, 0}); }
-  void say(int64_t MilliCores) { sayCapacity("w", {MilliCores, 100000, 0}); }
+  void say(int64_t MilliCores) { listWorker("w", {MilliCores, 100000, 0}); }
 };
 
 TEST(Capacity, WhatHasShrunkTakesNothingNewUntilItHasRoomAgain) {
--- a/src/scheduler/crash_count_test.cpp
+++ b/src/scheduler/crash_count_test.cpp
@@ -12,8 +12,8 @@
 // A sound task under which one worker has crashed as it began.
 JobId submitCrashedOnce(CrashScene &Given) {
   const JobId Id = Given.submit(tasks(1, 4000, 60s));
-  EXPECT_TRUE(Given.passUntilRuns(Id));
-  Given.crash(Given.at(Id), 1s);
+  EXPECT_TRUE(Given.advanceUntilRuns(Id));
+  Given.crash(Given.workerOf(Id), 1s);
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   return Id;
 }
@@ -25,60 +25,60 @@
 //   13850 LOSS run 4 i-5 replaced crashes 3 doubts 1; GIVEN UP crashes 3
 // The doubt was noted with the run, and the run was forgotten with the worker's lease, so that
 // nothing was left to take back when the worker was heard.
-TEST(Crashes, AWorkerThatIsHeardAgainAfterItsLeaseHasNotCrashed) {
+TEST(Crashes, AWorkerThatAnswersAfterItsLeaseHasNotCrashed) {
   CrashScene Given(2);
   const JobId Id = Given.submit(tasks(1, 4000, 60s));
-  ASSERT_TRUE(Given.passUntilRuns(Id));
-  const std::string Where = Given.at(Id);
+  ASSERT_TRUE(Given.advanceUntilRuns(Id));
+  const std::string WorkerId = Given.workerOf(Id);
   Given.fallSilent("w0");
   Given.fallSilent("w1"); // so that it can't stand its beginning elsewhere
-  Given.pass(8s);
+  Given.advance(8s);
   ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   ASSERT_EQ(Given.taskOf(Id).AssignedWorker, nullptr) << "the lease is over";
-  Given.Here[Where].clear();
-  Given.Silent.erase(Where);
-  Given.report(Where);
+  Given.ActiveRuns[WorkerId].clear();
+  Given.Silent.erase(WorkerId);
+  Given.report(WorkerId);
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
 }
 
 // The same with a worker whose entry had lapsed, so that it was dropped: a cut link to the store.
-TEST(Crashes, AWorkerThatComesBackAfterItWasDroppedHasNotCrashed) {
+TEST(Crashes, AWorkerThatIsListedAgainAfterItWasDroppedHasNotCrashed) {
   CrashScene Given(1);
   const JobId Id = Given.submit(tasks(1, 4000, 60s));
-  ASSERT_TRUE(Given.passUntilRuns(Id));
+  ASSERT_TRUE(Given.advanceUntilRuns(Id));
   Given.fallSilent("w0");
   workerUnlisted(Given.Cell, "w0", Given.Now);
-  Given.pass(8s);
+  Given.advance(8s);
   ASSERT_EQ(Given.Cell.Workers.count("w0"), 0u);
   ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
-  Given.Here["w0"].clear();
+  Given.ActiveRuns["w0"].clear();
   Given.Silent.clear();
   Given.addWorker("w0", 9000);
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
 }
 
 // Another life at the address is no word of the first.
-TEST(Crashes, AnotherLifeTakesNoDoubtBack) {
+TEST(Crashes, ANewIncarnationDoesNotClearASuspicion) {
   CrashScene Given(1);
   const JobId Id = Given.submit(tasks(1, 4000, 60s));
-  ASSERT_TRUE(Given.passUntilRuns(Id));
+  ASSERT_TRUE(Given.advanceUntilRuns(Id));
   Given.fallSilent("w0");
   workerUnlisted(Given.Cell, "w0", Given.Now);
-  Given.pass(8s);
-  Given.forget("w0");
+  Given.advance(8s);
+  Given.removeWorker("w0");
   Given.addWorker("w0+", 9000);
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
 
 // The doubt is older than the scheduler that hears the worker.
-TEST(Crashes, ADoubtOfAnEarlierSchedulerIsTakenBackWhenTheWorkerIsHeard) {
+TEST(Crashes, ASuspicionOfAnEarlierSchedulerIsClearedWhenTheWorkerAnswers) {
   CrashScene Given(1);
   const JobId Id = Given.submit(tasks(1, 4000, 60s));
-  ASSERT_TRUE(Given.passUntilRuns(Id));
+  ASSERT_TRUE(Given.advanceUntilRuns(Id));
   Given.fallSilent("w0");
-  Given.pass(8s);
+  Given.advance(8s);
   ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
-  Given.Here["w0"].clear();
+  Given.ActiveRuns["w0"].clear();
   Given.takeOver();
   ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   Given.Silent.clear();
@@ -87,7 +87,7 @@
 }
 
 // Records of a version that kept no names: as many doubts, which nothing takes back.
-TEST(Crashes, DoubtsWithoutNamesOfAnEarlierVersionAreKept) {
+TEST(Crashes, UnnamedSuspectWorkersOfOldRecordsAreKept) {
   cell::ProgressRecord Record;
   cell::TaskNote &Note = *Record.add_steps()->add_note();
   Note.set_crashes(3);
@@ -102,18 +102,18 @@
 }
 
 // A worker that leaves the list without a word counts as crashed, until it is heard all the same.
-TEST(Crashes, AWorkerThatVanishesUnderABeginningCountsUntilItIsHeard) {
+TEST(Crashes, AWorkerThatVanishesDuringStartupCountsUntilItAnswers) {
   CrashScene Given(1);
   const JobId Id = Given.submit(tasks(1, 4000, 60s));
-  ASSERT_TRUE(Given.passUntilRuns(Id));
+  ASSERT_TRUE(Given.advanceUntilRuns(Id));
   Given.fallSilent("w0");
   workerUnlisted(Given.Cell, "w0", Given.Now);
-  Given.pass(8s);
+  Given.advance(8s);
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   EXPECT_EQ(Given.taskOf(Id).SuspectWorkers.size(), 0u);
   Given.takeOver();
   EXPECT_EQ(Given.taskOf(Id).VanishedWorkers.size(), 1u) << "it is kept";
-  Given.Here["w0"].clear();
+  Given.ActiveRuns["w0"].clear();
   Given.Silent.clear();
   Given.addWorker("w0", 9000);
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 0u);
@@ -121,23 +121,23 @@
 
 // The run was over when its worker crashed, which nobody had heard yet: an estimate of 100 ms, and
 // the silence is noticed 200 ms after the start.
-TEST(Crashes, ARunThatMayHaveBeenOverIsDoubted) {
+TEST(Crashes, ACrashAfterWhichTheRunMayHaveEndedIsOnlySuspected) {
   CrashScene Given(1);
   const JobId Id = Given.submit(tasks(1, 4000, 100ms));
-  ASSERT_TRUE(Given.passUntilRuns(Id));
+  ASSERT_TRUE(Given.advanceUntilRuns(Id));
   Given.Silent.insert("w0");
-  Given.pass(200ms);
+  Given.advance(200ms);
   Given.crash("w0", 1s);
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
   EXPECT_EQ(Given.taskOf(Id).SuspectWorkers.size(), 1u);
 }
 
 // The order met another life at the address: it began nothing.
-TEST(Crashes, AnOrderThatMeetsAnotherLifeCountsForNothing) {
+TEST(Crashes, AStartSentToANewIncarnationIsNotCounted) {
   CrashScene Given(1);
   Given.Silent.insert("w0"); // it has crashed, and nobody has noticed
   const JobId Id = Given.submit(tasks(1, 4000, 60s));
-  Given.pass(50ms);
+  Given.advance(50ms);
   ASSERT_EQ(Given.startsOf(Id), 1u);
   Effects Out;
   startAnswered(Given.Cell, "w0", Given.Started[0].Run, StartResult::OtherLife, Given.Now, Out);
@@ -151,7 +151,7 @@
 //   83558 START, 83568 STOP "a member was refused"; 86766 TAKEOVER
 //   92103 START, 92117 STOP "a member was refused"; 92636 TAKEOVER; GIVEN UP crashes 4
 // The note that it may have been started stayed in the store when its fate was known.
-TEST(Crashes, AStartThatWasRefusedIsNotCountedByTheNextScheduler) {
+TEST(Crashes, ARefusedStartIsNotCountedByTheNextScheduler) {
   CrashScene Given(2);
   const JobId Id = submitCrashedOnce(Given);
   ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
@@ -159,7 +159,7 @@
     for (const auto &[Worker, Port] : Given.Ports)
       Given.refuseStarts(Worker);
     const size_t Before = Given.startsOf(Id);
-    Given.pass(2s);
+    Given.advance(2s);
     ASSERT_GT(Given.startsOf(Id), Before);
     Given.takeOver();
     ASSERT_NE(shownState(Given.Cell, Id), "failed") << "one worker has crashed under it";
@@ -168,43 +168,46 @@
 }
 
 // The same for a run that ended otherwise.
-TEST(Crashes, AStartWhoseEndIsKnownIsNotCountedByTheNextScheduler) {
+TEST(Crashes, AStartWithAKnownEndIsNotCountedByTheNextScheduler) {
   CrashScene Given(2);
   const JobId Id = submitCrashedOnce(Given);
-  ASSERT_TRUE(Given.passUntilRuns(Id));
-  Given.breakRuns(Given.at(Id));
+  ASSERT_TRUE(Given.advanceUntilRuns(Id));
+  Given.endRunsAsBroken(Given.workerOf(Id));
   Given.save();
   Given.takeOver();
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
 
 // A worker that comes back says nothing of the start that is under way on another.
-TEST(Crashes, ADoubtThatIsTakenBackLeavesTheStartElsewhereNoted) {
+TEST(Crashes, ClearingASuspicionKeepsThePendingStartElsewhere) {
   CrashScene Given(4);
   const JobId Id = submitCrashedOnce(Given);
-  ASSERT_TRUE(Given.passUntilRuns(Id));
-  const std::string Cut = Given.at(Id);
-  Given.fallSilent(Cut);
-  const auto RunsElsewhere = [&] { return Given.at(Id) != Cut && !Given.at(Id).empty(); };
+  ASSERT_TRUE(Given.advanceUntilRuns(Id));
+  const std::string CutWorker = Given.workerOf(Id);
+  Given.fallSilent(CutWorker);
+  const auto RunsElsewhere = [&] {
+    return Given.workerOf(Id) != CutWorker && !Given.workerOf(Id).empty();
+  };
   for (Milliseconds T{0}; T < 9s && !RunsElsewhere(); T += 10ms)
-    Given.pass(10ms); // until its lease is over
+    Given.advance(10ms); // until its lease is over
   ASSERT_TRUE(RunsElsewhere());
   ASSERT_EQ(Given.taskOf(Id).StartupCrashes, 2u);
-  ASSERT_EQ(Given.taskOf(Id).PendingStartWorker, Given.at(Id));
-  Given.Here[Cut].clear();
-  Given.Silent.erase(Cut);
-  Given.report(Cut);
+  ASSERT_EQ(Given.taskOf(Id).PendingStartWorker, Given.workerOf(Id));
+  Given.ActiveRuns[CutWorker].clear();
+  Given.Silent.erase(CutWorker);
+  Given.report(CutWorker);
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
-  EXPECT_EQ(Given.taskOf(Id).PendingStartWorker, Given.at(Id));
+  EXPECT_EQ(Given.taskOf(Id).PendingStartWorker, Given.workerOf(Id));
 }
 
 // It was refused by a worker that the next scheduler hears: no order of the one before can begin
 // there any more.
-TEST(Crashes, AStartOnAWorkerThatIsHeardAfterATakeoverHasNotCrashedIt) {
+TEST(Crashes, AStartOnAWorkerThatAnswersAfterATakeoverIsNotCounted) {
   CrashScene Given(2);
   const JobId Id = submitCrashedOnce(Given);
-  ASSERT_TRUE(Given.passUntilRuns(Id));
-  Given.Here[Given.at(Id)].clear(); // the order was lost, which this scheduler never learns
+  ASSERT_TRUE(Given.advanceUntilRuns(Id));
+  Given.ActiveRuns[Given.workerOf(Id)]
+      .clear(); // the order was lost, which this scheduler never learns
   Given.takeOver();
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
--- a/src/scheduler/evacuation_test.cpp
+++ b/src/scheduler/evacuation_test.cpp
@@ -20,21 +20,23 @@
 
 // "a1" stands in zone "a"; further workers are added by the tests.
 struct TwoZones : PlacementScene {
-  TwoZones() : PlacementScene(0) { addIn("a1", "a"); }
-  void addIn(const std::string &Id, const std::string &Zone) {
+  TwoZones() : PlacementScene(0) { addWorkerIn("a1", "a"); }
+  void addWorkerIn(const std::string &Id, const std::string &Zone) {
     workerListed(Cell, workerIn(Id, Zone), Now);
     Cell.Workers.at(Id).IsRecorded = true;
     Effects Out;
     workerReported(Cell, Id, {}, Now, Now, Out);
   }
-  bool empty(std::set<std::string> Zones) { return evacuate(Cell, {std::move(Zones), ++Revision}); }
+  bool evacuateZones(std::set<std::string> Zones) {
+    return evacuate(Cell, {std::move(Zones), ++Revision});
+  }
   uint64_t Revision = 10;
 };
 
-TEST(Evacuation, NothingIsStartedInTheZoneUntilTheRequestIsTakenBack) {
+TEST(Evacuation, NothingIsStartedInTheZoneUntilTheRequestIsWithdrawn) {
   TwoZones Given;
-  Given.addIn("b1", "b");
-  EXPECT_TRUE(Given.empty({"a"}));
+  Given.addWorkerIn("b1", "b");
+  EXPECT_TRUE(Given.evacuateZones({"a"}));
   const JobId Job = Given.submit(0, tasks(10, 10000, 1s), 100);
   const Effects Out = Given.pass();
   EXPECT_EQ(Out.Starts.size(), 6u) << "the others find no room";
@@ -42,27 +44,27 @@
     EXPECT_EQ(Order.Worker, "b1");
   EXPECT_NE(explainJob(Given.Cell, Job, Given.Now).find("\"in_an_evacuated_zone\":1"),
             std::string::npos);
-  EXPECT_TRUE(Given.empty({}));
+  EXPECT_TRUE(Given.evacuateZones({}));
   EXPECT_EQ(Given.pass(100ms).Starts.size(), 4u);
 }
 
-TEST(Evacuation, AWorkerThatComesLaterBelongsToTheZone) {
+TEST(Evacuation, AWorkerThatIsListedLaterBelongsToTheZone) {
   TwoZones Given;
-  Given.empty({"a"});
-  Given.addIn("a2", "a");
+  Given.evacuateZones({"a"});
+  Given.addWorkerIn("a2", "a");
   Given.submit(0, tasks(1, 1000, 1s), 100);
   EXPECT_TRUE(Given.pass().Starts.empty());
 }
 
-TEST(Evacuation, AnOlderStateOfTheStoreIsPassedOver) {
+TEST(Evacuation, AnOlderRevisionIsIgnored) {
   TwoZones Given;
-  Given.empty({"a"});
+  Given.evacuateZones({"a"});
   EXPECT_FALSE(evacuate(Given.Cell, {{}, 5}));
   EXPECT_TRUE(Given.Cell.Workers.at("a1").InEvacuatedZone);
-  EXPECT_FALSE(Given.empty({"a"})) << "the same once more";
+  EXPECT_FALSE(Given.evacuateZones({"a"})) << "the same once more";
 }
 
-TEST(Evacuation, WhatIsOnlyPlannedThereIsDropped) {
+TEST(Evacuation, PlannedAttemptsInTheZoneAreDropped) {
   TwoZones Given;
   const StepKey Step{Given.submit(1, tasks(2, 10000, 1s), 100, true), 0, 0};
   Given.pass();
@@ -70,17 +72,17 @@
   adviceAnswered(Given.Cell, Step, {"a1"}, {{"a1", "old"}}, 0ms, Given.Now);
   Given.pass();
   ASSERT_EQ(Given.Cell.Workers.at("a1").Planned.MilliCores, 20000);
-  Given.empty({"a"});
+  Given.evacuateZones({"a"});
   EXPECT_TRUE(Given.pass(100ms).Starts.empty());
   EXPECT_EQ(Given.Cell.Workers.at("a1").Planned, Resources{});
 }
 
 TEST(Evacuation, AGangIsPlannedElsewhere) {
   TwoZones Given;
-  Given.addIn("b1", "b");
+  Given.addWorkerIn("b1", "b");
   StepSpec Gang = tasks(6, 10000, 1s);
   Gang.Gang = true;
-  Given.empty({"a"});
+  Given.evacuateZones({"a"});
   Given.submit(1, Gang, 100);
   const Effects Out = Given.pass();
   ASSERT_EQ(Out.Starts.size(), 6u);
@@ -89,14 +91,14 @@
 }
 
 // A second order would be a start in the zone, long after the request.
-TEST(Evacuation, AnOrderWithoutAnAnswerIsNotRepeatedThere) {
+TEST(Evacuation, AnUnansweredStartIsNotResentIntoTheZone) {
   TwoZones Given;
   Given.submit(0, tasks(1, 1000, 1s), 100);
   Effects Out;
   Given.Now += 1ms;
   place(Given.Cell, Given.Now, Out);
   ASSERT_EQ(Out.Starts.size(), 1u);
-  Given.empty({"a"});
+  Given.evacuateZones({"a"});
   Effects After;
   startAnswered(Given.Cell, "a1", Out.Starts.front().Run, StartResult::Unknown, Given.Now, After);
   EXPECT_TRUE(After.Starts.empty());
@@ -108,19 +110,19 @@
   explicit WorkInZone(StepSpec Step) {
     submit(1, std::move(Step), 1000);
     pass();
-    addIn("b1", "b");
+    addWorkerIn("b1", "b");
     Now += 200ms;
-    empty({"a"});
+    evacuateZones({"a"});
   }
 };
 
-TEST(Evacuation, WorkThatSavesIsMovedAndWhatEndsSoonStays) {
+TEST(Evacuation, CheckpointedWorkIsMovedUnlessItEndsSoon) {
   EXPECT_EQ(WorkInZone(tasks(1, 20000, 8s, true)).pass().Stops.size(), 1u);
   EXPECT_TRUE(WorkInZone(tasks(1, 20000, 1s, true)).pass().Stops.empty());
   EXPECT_TRUE(WorkInZone(tasks(1, 20000, 8s, false)).pass().Stops.empty());
 }
 
-TEST(Evacuation, ALastingTaskHasItsNewPlaceBeforeItIsStopped) {
+TEST(Evacuation, ALastingTaskIsStoppedOnlyWhenThereIsRoomElsewhere) {
   StepSpec Lasting = tasks(1, 20000, 500ms);
   Lasting.Lasting = true;
   WorkInZone Given(Lasting);
@@ -133,12 +135,12 @@
   EXPECT_TRUE(Alone.pass().Stops.empty()) << "no place elsewhere";
 }
 
-TEST(Evacuation, MoreWorkersAreWishedForOutsideTheZone) {
+TEST(Evacuation, WorkersAreSelectedOnlyOutsideTheZone) {
   TwoZones Given;
   for (int I = 0; I < 300; ++I)
     workerListed(Given.Cell, workerIn((I % 2 ? "a-" : "b-") + std::to_string(I), I % 2 ? "a" : "b"),
                  Given.Now);
-  Given.empty({"a"});
+  Given.evacuateZones({"a"});
   Effects Out;
   for (int I = 0; I < 5; ++I)
     tick(Given.Cell, Given.Now, WallTime(1000s), Out);
@@ -147,7 +149,7 @@
 }
 
 // A caller waits for the slowest task of a step.
-TEST(SlowStarts, AWorkerThatIsStillSlowIsTakenLast) {
+TEST(SlowStarts, AWorkerThatIsStillSlowIsUsedLast) {
   TwoZones Given;
   WorkerInfo Fresh = workerIn("fresh", "a");
   Fresh.SlowFor = 3s;
--- a/testsuite/replay/crash_scene.h
+++ b/testsuite/replay/crash_scene.h
@@ -28,7 +28,7 @@
       addWorker("w" + std::to_string(I), static_cast<uint16_t>(9000 + I));
   }
 
-  void list(const std::string &Id, uint16_t Port, bool Draining = false) {
+  void listWorker(const std::string &Id, uint16_t Port, bool Draining = false) {
     WorkerInfo Info;
     Info.Id = Id;
     Info.Service = "pool";
@@ -41,7 +41,7 @@
   }
 
   void addWorker(const std::string &Id, uint16_t Port) {
-    list(Id, Port);
+    listWorker(Id, Port);
     report(Id);
   }
 
@@ -72,39 +72,39 @@
   void report(const std::string &Id, const std::vector<std::pair<RunKey, RunEnd>> &Ends = {}) {
     WorkerReport Report;
     for (const auto &[Run, How] : Ends) {
-      Here[Id].erase(Run);
-      Report.Ended.push_back({++LastEnd[Id], Run, How, ""});
+      ActiveRuns[Id].erase(Run);
+      Report.Ended.push_back({++LastEndNumbers[Id], Run, How, ""});
     }
-    for (const RunKey &Run : Here[Id])
-      Report.Active.push_back({Run, "", Percent});
+    for (const RunKey &Run : ActiveRuns[Id])
+      Report.Active.push_back({Run, "", ReportedPercent});
     Effects Out;
     workerLeased(Cell, Id, Now + Lease);
     workerReported(Cell, Id, Report, Now, Now, Out);
-    take(Out);
+    apply(Out);
   }
 
   // Time passes in ticks, with a pass of placement each; workers that live answer every 100 ms.
-  void pass(Milliseconds Time) {
+  void advance(Milliseconds Time) {
     for (Milliseconds T{0}; T < Time; T += Milliseconds(10)) {
       Now += Milliseconds(10);
-      while (!Later.empty() && Later.begin()->first <= Now)
-        Later.extract(Later.begin()).mapped()();
+      while (!ScheduledEvents.empty() && ScheduledEvents.begin()->first <= Now)
+        ScheduledEvents.extract(ScheduledEvents.begin()).mapped()();
       Effects Out;
       tick(Cell, Now, WallTime(std::chrono::duration_cast<Milliseconds>(Now.time_since_epoch())),
            Out);
       place(Cell, Now, Out);
-      take(Out);
+      apply(Out);
       if (T.count() % 100 == 0)
         for (const auto &[Id, Port] : std::map(Ports))
           if (!Silent.count(Id) && Cell.Workers.count(Id))
             report(Id);
-      if (Stores)
+      if (StoreAvailable)
         save();
     }
   }
 
   // Orders are carried out and answered.
-  void take(Effects &Out) {
+  void apply(Effects &Out) {
     for (const Effects::Start &Order : std::vector(Out.Starts)) {
       Started.push_back(Order);
       workerLeased(Cell, Order.Worker, Now + Lease);
@@ -112,9 +112,9 @@
         Effects Next;
         startAnswered(Cell, Order.Worker, Order.Run, StartResult::RefusedBusy, Now, Next);
       } else if (!Silent.count(Order.Worker)) {
-        Here[Order.Worker].insert(Order.Run);
-        if (Crashers.count(Order.Run.Task.Step.Job))
-          crashSoon(Order.Worker);
+        ActiveRuns[Order.Worker].insert(Order.Run);
+        if (CrashingJobs.count(Order.Run.Task.Step.Job))
+          scheduleCrash(Order.Worker);
         Effects Next;
         startAnswered(Cell, Order.Worker, Order.Run, StartResult::Started, Now, Next);
       }
@@ -122,21 +122,21 @@
     for (const Effects::Stop &Order : std::vector(Out.Stops)) {
       Effects Next;
       stopAnswered(Cell, Order.Worker, Order.Run, true, Now, Next);
-      if (Here[Order.Worker].count(Order.Run))
+      if (ActiveRuns[Order.Worker].count(Order.Run))
         report(Order.Worker, {{Order.Run, RunEnd::Stopped}});
     }
     LostRuns.insert(LostRuns.end(), Out.LostRuns.begin(), Out.LostRuns.end());
   }
 
   // The worker crashes 10 ms from now; its entry lapses, and another life begins in its place.
-  void crashSoon(const std::string &Id) {
-    Later.emplace(Now + Milliseconds(10), [this, Id] { fallSilent(Id); });
-    Later.emplace(Now + EntryKept, [this, Id] { workerUnlisted(Cell, Id, Now); });
-    Later.emplace(Now + BackAfter, [this, Id] {
+  void scheduleCrash(const std::string &Id) {
+    ScheduledEvents.emplace(Now + Milliseconds(10), [this, Id] { fallSilent(Id); });
+    ScheduledEvents.emplace(Now + UnlistDelay, [this, Id] { workerUnlisted(Cell, Id, Now); });
+    ScheduledEvents.emplace(Now + RestartDelay, [this, Id] {
       if (Cell.Workers.count(Id))
         return replace(Id);
       const uint16_t Port = Ports.at(Id);
-      forget(Id);
+      removeWorker(Id);
       addWorker(Id + "+", Port);
     });
   }
@@ -149,31 +149,31 @@
   // Another life answers at the worker's address.
   void replace(const std::string &Id) {
     const uint16_t Port = Ports.at(Id);
-    forget(Id);
+    removeWorker(Id);
     Effects Out;
     workerEnded(Cell, Id, Now, Out);
-    take(Out);
-    addWorker("life" + std::to_string(++LastLife), Port);
+    apply(Out);
+    addWorker("life" + std::to_string(++LastIncarnation), Port);
   }
 
   // The worker crashes \p After it began what was started last, and is back after a while.
-  void crash(const std::string &Id, Milliseconds BackAfter = Milliseconds(3000)) {
+  void crash(const std::string &Id, Milliseconds RestartDelay = Milliseconds(3000)) {
     fallSilent(Id);
-    pass(BackAfter);
+    advance(RestartDelay);
     replace(Id);
   }
 
   // Until the job's first task runs; false: it does not.
-  bool passUntilRuns(JobId Id, Milliseconds Most = Milliseconds(3000)) {
-    for (Milliseconds T{0}; T < Most && at(Id).empty(); T += Milliseconds(10))
-      pass(Milliseconds(10));
-    return !at(Id).empty();
+  bool advanceUntilRuns(JobId Id, Milliseconds Most = Milliseconds(3000)) {
+    for (Milliseconds T{0}; T < Most && workerOf(Id).empty(); T += Milliseconds(10))
+      advance(Milliseconds(10));
+    return !workerOf(Id).empty();
   }
 
   // The members of a gang that is not whole any more end.
-  void breakRuns(const std::string &Id) {
+  void endRunsAsBroken(const std::string &Id) {
     std::vector<std::pair<RunKey, RunEnd>> Ends;
-    for (const RunKey &Run : Here[Id])
+    for (const RunKey &Run : ActiveRuns[Id])
       Ends.emplace_back(Run, RunEnd::Broken);
     report(Id, Ends);
   }
@@ -187,7 +187,7 @@
     Next.FirstRun = Cell.FirstRun + 1000;
     Cell = std::move(Next);
     for (const auto &[Id, Port] : std::map(Ports)) {
-      list(Id, Port);
+      listWorker(Id, Port);
       workerMayHoldRuns(Cell, Cell.Workers.at(Id).Info, Now + Lease);
     }
     for (const auto &[Id, Phase] : Ended)
@@ -200,7 +200,7 @@
     }
     Effects Out;
     finishLoading(Cell, Now, Out);
-    take(Out);
+    apply(Out);
     for (const auto &[Id, Port] : std::map(Ports))
       if (Silent.count(Id))
         workerSilent(Cell, Id);
@@ -212,9 +212,9 @@
     return Cell.Jobs.at(Id).Rounds.at(0).Steps[0].Tasks[0];
   }
 
-  void forget(const std::string &Id) {
+  void removeWorker(const std::string &Id) {
     Ports.erase(Id);
-    Here.erase(Id);
+    ActiveRuns.erase(Id);
   }
 
   void save() {
@@ -231,7 +231,7 @@
   }
 
   // Where a task of the job runs; empty: nowhere.
-  std::string at(JobId Id, uint32_t Index = 0) const {
+  std::string workerOf(JobId Id, uint32_t Index = 0) const {
     const auto Found = Cell.Jobs.find(Id);
     if (Found == Cell.Jobs.end())
       return "";
@@ -255,20 +255,20 @@
   std::map<JobId, std::string> Progress; ///< As the store has it.
   std::map<JobId, JobPhase> Ended;
   std::map<std::string, uint16_t> Ports; ///< Of the workers that are there.
-  std::map<std::string, std::set<RunKey>> Here;
+  std::map<std::string, std::set<RunKey>> ActiveRuns;
   std::set<std::string> Silent;
   std::set<std::string> Refusing; ///< Workers that refuse all starts.
-  std::set<JobId> Crashers;       ///< Jobs whose tasks crash their workers as they begin.
-  Milliseconds EntryKept{4500};
-  Milliseconds BackAfter{3000};
-  std::multimap<TimePoint, std::function<void()>> Later;
-  int Percent = 50;   ///< Of each run, as its worker says.
-  bool Stores = true; ///< The store takes saves.
+  std::set<JobId> CrashingJobs;   ///< Jobs whose tasks crash their workers as they begin.
+  Milliseconds UnlistDelay{4500};
+  Milliseconds RestartDelay{3000};
+  std::multimap<TimePoint, std::function<void()>> ScheduledEvents;
+  int ReportedPercent = 50;   ///< Of each run, as its worker says.
+  bool StoreAvailable = true; ///< The store takes saves.
 
 private:
-  std::map<std::string, uint64_t> LastEnd;
+  std::map<std::string, uint64_t> LastEndNumbers;
   JobId LastJob = 0;
-  int LastLife = 0;
+  int LastIncarnation = 0;
 };
 
 } // namespace valveshelf::sched
--- a/testsuite/replay/placement_scene.h
+++ b/testsuite/replay/placement_scene.h
@@ -23,14 +23,14 @@
   }
 
   void addWorker(const std::string &Id, const Resources &Size = WorkerSize) {
-    sayCapacity(Id, Size);
+    listWorker(Id, Size);
     Cell.Workers.at(Id).IsRecorded = true;
     Effects Out;
     workerReported(Cell, Id, {}, Now, Now, Out);
   }
 
   // What the worker says of itself in the list.
-  void sayCapacity(const std::string &Id, const Resources &Size) {
+  void listWorker(const std::string &Id, const Resources &Size) {
     WorkerInfo Info;
     Info.Id = Id;
     Info.Service = "pool";
@@ -56,9 +56,9 @@
   }
 
   // One pass; all start orders are confirmed.
-  Effects pass(Milliseconds Passed = Milliseconds(1)) {
+  Effects pass(Milliseconds Elapsed = Milliseconds(1)) {
     Effects Out;
-    Now += Passed;
+    Now += Elapsed;
     place(Cell, Now, Out);
     for (const Effects::Start &Order : Out.Starts) {
       Effects Ignored;
@@ -75,12 +75,12 @@
 };
 
 inline StepSpec tasks(uint32_t Count, int64_t MilliCores, Milliseconds Estimate,
-                      bool Saves = false) {
+                      bool Checkpoints = false) {
   StepSpec Step;
   Step.Count = Count;
   Step.Need = {MilliCores, 1000, 0};
   Step.Estimate = Estimate;
-  Step.Checkpoints = Saves;
+  Step.Checkpoints = Checkpoints;
   return Step;
 }
 
