--- a/testsuite/replay/load_replay.cpp
+++ b/testsuite/replay/load_replay.cpp
@@ -8,7 +8,7 @@
 namespace {
 // As in the scheduler's process: events that come together are placed together.
 constexpr Milliseconds PassDelay{2};
-constexpr Milliseconds TickEvery{50};
+constexpr Milliseconds TickInterval{50};
 } // namespace
 
 LoadReplay::LoadReplay(ReplaySetting Given) : Setting(Given) {
@@ -32,11 +32,11 @@
   Events.emplace(std::pair(Now + Time, ++LastEvent), std::move(What));
 }
 
-void LoadReplay::handIn(Milliseconds At, const std::string &Name, const ReplayKind &Kind) {
+void LoadReplay::submit(Milliseconds At, const std::string &Name, const ReplayKind &Kind) {
   const JobId Id = ++LastJob;
   Kinds[Id] = Kind;
   Results[Id].Kind = Name;
-  Events.emplace(std::pair(Begun + At, ++LastEvent), [this, Id] {
+  Events.emplace(std::pair(ReplayStart + At, ++LastEvent), [this, Id] {
     const ReplayKind &Of = Kinds.at(Id);
     auto Spec = std::make_shared<JobSpec>();
     Spec->Id = Id;
@@ -49,42 +49,42 @@
     Spec->Target = Of.Target;
     Spec->AcceptedAt =
         Cell.Wall + std::chrono::duration_cast<WallTime::duration>(Now - Cell.WallAt);
-    if (Of.Decide.count() > 0)
-      Spec->Advice =
-          AdvicePolicy{Of.Decide, std::chrono::duration<double, std::milli>(Of.EachWorkerMs),
-                       Setting.TicketTime};
+    if (Of.AdviceBaseTime.count() > 0)
+      Spec->Advice = AdvicePolicy{Of.AdviceBaseTime,
+                                  std::chrono::duration<double, std::milli>(Of.AdvicePerWorkerMs),
+                                  Setting.TicketLifetime};
     Spec->Steps.push_back(Of.Step);
     addJob(Cell, Spec, ++Revision, true, Now);
-    Results.at(Id).HandedIn = Now;
+    Results.at(Id).SubmittedAt = Now;
     Results.at(Id).Objective = Cell.Jobs.at(Id).Objective;
     placeSoon();
   });
 }
 
-void LoadReplay::makeSick(Milliseconds At, Milliseconds Until, int Count) {
+void LoadReplay::makeFaulty(Milliseconds At, Milliseconds Until, int Count) {
   std::mt19937_64 Random(Setting.Seed);
   std::vector<std::string> Ids;
   for (const auto &[Id, On] : Cell.Workers)
     Ids.push_back(Id);
   std::shuffle(Ids.begin(), Ids.end(), Random);
   for (int I = 0; I < Count; ++I)
-    Sick[Ids[static_cast<size_t>(I)]] = {Begun + At, Begun + Until};
+    FaultyPeriods[Ids[static_cast<size_t>(I)]] = {ReplayStart + At, ReplayStart + Until};
 }
 
-bool LoadReplay::isSick(const std::string &Worker) const {
-  const auto Found = Sick.find(Worker);
-  return Found != Sick.end() && Now >= Found->second.first && Now < Found->second.second;
+bool LoadReplay::isFaulty(const std::string &Worker) const {
+  const auto Found = FaultyPeriods.find(Worker);
+  return Found != FaultyPeriods.end() && Now >= Found->second.first && Now < Found->second.second;
 }
 
-void LoadReplay::play(Milliseconds At) {
-  for (Milliseconds T{0}; T < At; T += TickEvery)
-    Events.emplace(std::pair(Begun + T, ++LastEvent), [this] {
+void LoadReplay::runUntil(Milliseconds At) {
+  for (Milliseconds T{0}; T < At; T += TickInterval)
+    Events.emplace(std::pair(ReplayStart + T, ++LastEvent), [this] {
       Effects Out;
       tick(Cell, Now, WallTime(std::chrono::duration_cast<Milliseconds>(Now.time_since_epoch())),
            Out);
       apply(Out);
     });
-  while (!Events.empty() && Events.begin()->first.first <= Begun + At) {
+  while (!Events.empty() && Events.begin()->first.first <= ReplayStart + At) {
     auto Next = Events.extract(Events.begin());
     Now = Next.key().first;
     Next.mapped()();
@@ -93,26 +93,26 @@
 }
 
 void LoadReplay::placeSoon() {
-  if (PassWaits)
+  if (PassScheduled)
     return;
-  PassWaits = true;
+  PassScheduled = true;
   after(PassDelay, [this] {
     Effects Out;
     place(Cell, Now, Out);
     apply(Out);
-    PassWaits = false;
+    PassScheduled = false;
   });
 }
 
 void LoadReplay::apply(Effects &Out) {
   for (const Effects::Start &Order : Out.Starts)
-    after(Setting.OrderTime, [this, Order] { started(Order); });
+    after(Setting.OrderLatency, [this, Order] { startRun(Order); });
   for (const Effects::Stop &Order : Out.Stops) {
     ++Results.at(Order.Run.Task.Step.Job).Stops;
-    after(Setting.OrderTime, [this, Order] {
+    after(Setting.OrderLatency, [this, Order] {
       Effects Then;
       stopAnswered(Cell, Order.Worker, Order.Run, true, Now, Then);
-      after(Cell.Limits.StopTime, [this, Key = Order.Run] { ends(Key, RunEnd::Stopped); });
+      after(Cell.Limits.StopTime, [this, Key = Order.Run] { endRun(Key, RunEnd::Stopped); });
     });
   }
   for (Effects::Ask &Question : Out.Asks)
@@ -121,7 +121,7 @@
   placeSoon();
 }
 
-void LoadReplay::started(const Effects::Start &Order) {
+void LoadReplay::startRun(const Effects::Start &Order) {
   Effects Out;
   startAnswered(Cell, Order.Worker, Order.Run, StartResult::Started, Now, Out);
   apply(Out);
@@ -131,11 +131,11 @@
     Of.FirstStart = Now;
   Runs[Order.Run].Worker = Order.Worker;
   const StepSpec &Spec = Kinds.at(Step.Job).Step;
-  if (isSick(Order.Worker))
-    return beginWork(Order.Run, Setting.SickFailure, RunEnd::Failed);
+  if (isFaulty(Order.Worker))
+    return beginWork(Order.Run, Setting.FaultyRunTime, RunEnd::Failed);
   if (!Spec.Gang)
-    return beginWork(Order.Run, Spec.Estimate - Saved[Order.Run.Task], RunEnd::Done);
-  auto &Members = Present[{Step, Order.Run.Run}];
+    return beginWork(Order.Run, Spec.Estimate - SavedWork[Order.Run.Task], RunEnd::Done);
+  auto &Members = StartedMembers[{Step, Order.Run.Run}];
   Members.insert(Order.Run.Task.Index);
   for (uint32_t I = 0; Members.size() == Spec.Count && I < Spec.Count; ++I)
     beginWork({{Step, I}, Order.Run.Run}, Spec.Estimate, RunEnd::Done);
@@ -145,26 +145,26 @@
   const auto Found = Runs.find(Key);
   if (Found == Runs.end())
     return; // it was broken meanwhile
-  Found->second.Since = Now;
-  Found->second.WholeTime = Time;
-  after(Time, [this, Key, How] { ends(Key, How); });
+  Found->second.WorkStartedAt = Now;
+  Found->second.TotalTime = Time;
+  after(Time, [this, Key, How] { endRun(Key, How); });
 }
 
 WorkerReport LoadReplay::reportOf(const std::string &Worker, const RunKey &Ended, RunEnd How) {
   WorkerReport Report;
-  Report.Ended.push_back({++LastEnds[Worker], Ended, How, ""});
+  Report.Ended.push_back({++LastEndNumbers[Worker], Ended, How, ""});
   for (const auto &[Key, At] : Runs) {
     if (At.Worker != Worker)
       continue;
-    const bool Works = At.Since != TimePoint{} && At.WholeTime.count() > 0;
-    const auto Percent = Works ? 100 * (Now - At.Since) / At.WholeTime : 0;
+    const bool Works = At.WorkStartedAt != TimePoint{} && At.TotalTime.count() > 0;
+    const auto Percent = Works ? 100 * (Now - At.WorkStartedAt) / At.TotalTime : 0;
     Report.Active.push_back({Key, "", static_cast<int>(Percent)});
   }
   return Report;
 }
 
 // A member that fails breaks the others of its run.
-void LoadReplay::ends(const RunKey &Key, RunEnd How) {
+void LoadReplay::endRun(const RunKey &Key, RunEnd How) {
   const auto Found = Runs.find(Key);
   if (Found == Runs.end())
     return; // it was stopped or broken before
@@ -174,7 +174,7 @@
   const StepSpec &Spec = Kinds.at(Step.Job).Step;
   Results.at(Step.Job).Failures += How == RunEnd::Failed ? 1 : 0;
   if (How == RunEnd::Stopped && Spec.Checkpoints)
-    Saved[Key.Task] += std::chrono::duration_cast<Milliseconds>(Now - Was.Since);
+    SavedWork[Key.Task] += std::chrono::duration_cast<Milliseconds>(Now - Was.WorkStartedAt);
   Effects Out;
   workerReported(Cell, Was.Worker, reportOf(Was.Worker, Key, How), Now, Now, Out);
   apply(Out);
@@ -182,7 +182,7 @@
     return;
   for (const auto &[Other, At] : Runs)
     if (Other.Task.Step == Step && Other.Run == Key.Run)
-      after(Setting.OrderTime, [this, Broken = Other] { ends(Broken, RunEnd::Broken); });
+      after(Setting.OrderLatency, [this, Broken = Other] { endRun(Broken, RunEnd::Broken); });
 }
 
 // The most urgent question first, and of those the oldest.
@@ -201,14 +201,14 @@
 
 void LoadReplay::answer(const Effects::Ask &Question) {
   --LanesInUse;
-  const double Share = Kinds.at(Question.Step.Job).GoodShare;
+  const double Share = Kinds.at(Question.Step.Job).EligibleShare;
   std::vector<std::pair<std::string, std::string>> Good;
   for (const std::string &Id : Question.Workers) {
     const size_t Draw = std::hash<std::string>()(toString(Question.Step) + Id) % 1000;
     if (static_cast<double>(Draw) < Share * 1000)
       Good.emplace_back(Id, "ticket");
   }
-  adviceAnswered(Cell, Question.Step, Question.Workers, Good, Setting.TicketTime, Now);
+  adviceAnswered(Cell, Question.Step, Question.Workers, Good, Setting.TicketLifetime, Now);
   dispatchQuestions();
   placeSoon();
 }
@@ -237,23 +237,23 @@
   return Found;
 }
 
-Milliseconds quantile(std::vector<Milliseconds> Values, double Part) {
+Milliseconds quantile(std::vector<Milliseconds> Values, double Fraction) {
   if (Values.empty())
     return Milliseconds(0);
   std::sort(Values.begin(), Values.end());
-  const auto Place = static_cast<size_t>(Part * static_cast<double>(Values.size() - 1));
+  const auto Place = static_cast<size_t>(Fraction * static_cast<double>(Values.size() - 1));
   return Values[Place];
 }
 
-std::vector<Milliseconds> waits(const std::vector<ReplayedJob> &Jobs) {
+std::vector<Milliseconds> startDelays(const std::vector<ReplayedJob> &Jobs) {
   std::vector<Milliseconds> Found;
   for (const ReplayedJob &Of : Jobs)
     if (Of.FirstStart != TimePoint{})
-      Found.push_back(std::chrono::duration_cast<Milliseconds>(Of.FirstStart - Of.HandedIn));
+      Found.push_back(std::chrono::duration_cast<Milliseconds>(Of.FirstStart - Of.SubmittedAt));
   return Found;
 }
 
-size_t inTime(const std::vector<ReplayedJob> &Jobs) {
+size_t countInTime(const std::vector<ReplayedJob> &Jobs) {
   return static_cast<size_t>(std::count_if(Jobs.begin(), Jobs.end(), [](const ReplayedJob &Of) {
     return Of.Phase == JobPhase::Completed && Of.Ended <= Of.Objective;
   }));
--- a/testsuite/replay/load_replay_test.cpp
+++ b/testsuite/replay/load_replay_test.cpp
@@ -43,35 +43,35 @@
 
 // A wave of large gangs on a fleet that is mostly free: each needs two to four hundred workers to
 // be asked about.
-TEST(LoadReplay, LargeGangsDoNotWaitForOneQuestionAfterTheOther) {
+TEST(LoadReplay, LargeGangsAskForAdviceConcurrently) {
   ReplaySetting Setting;
   Setting.Workers = 800;
   LoadReplay Given(Setting);
-  Given.handIn(0ms, "first", rebuild(40));
+  Given.submit(0ms, "first", rebuild(40));
   for (int I = 0; I < 6; ++I)
-    Given.handIn(Milliseconds(3000 + 100 * I), "rebuild", rebuild(150));
-  Given.play(25s);
+    Given.submit(Milliseconds(3000 + 100 * I), "rebuild", rebuild(150));
+  Given.runUntil(25s);
   const auto Jobs = Given.jobs("rebuild");
-  EXPECT_LT(quantile(waits(Jobs), 0.5), 2600ms);
-  EXPECT_EQ(inTime(Jobs), Jobs.size());
+  EXPECT_LT(quantile(startDelays(Jobs), 0.5), 2600ms);
+  EXPECT_EQ(countInTime(Jobs), Jobs.size());
 }
 
 // One worker in ten fails all that it is given, within 20 ms, on a fleet that is nearly full. Three
 // failures of a task end its job; returns how many ended so.
-size_t failedBesideSickWorkers(uint64_t Seed) {
+size_t failedJobsBesideFaultyWorkers(uint64_t Seed) {
   ReplaySetting Setting;
   Setting.Workers = 200;
   Setting.Seed = Seed;
   LoadReplay Given(Setting);
-  Given.makeSick(3000ms, 9000ms, 20);
+  Given.makeFaulty(3000ms, 9000ms, 20);
   for (int I = 0; I < 300; ++I)
-    Given.handIn(Milliseconds(40 * I), "check", quickCheck());
+    Given.submit(Milliseconds(40 * I), "check", quickCheck());
   for (int I = 0; I < 60; ++I)
-    Given.handIn(Milliseconds(200 * I), "scan", scan(40));
+    Given.submit(Milliseconds(200 * I), "scan", scan(40));
   for (int I = 0; I < 12; ++I)
-    Given.handIn(Milliseconds(1000 * I), "rebuild", rebuild(40));
-  Given.play(40s);
-  EXPECT_GE(inTime(Given.jobs("check")), 295u);
+    Given.submit(Milliseconds(1000 * I), "rebuild", rebuild(40));
+  Given.runUntil(40s);
+  EXPECT_GE(countInTime(Given.jobs("check")), 295u);
   size_t Failed = 0;
   for (const char *Kind : {"check", "scan", "rebuild"})
     for (const ReplayedJob &Of : Given.jobs(Kind))
@@ -80,39 +80,39 @@
 }
 
 // A task may still meet three different sick workers, which takes it one job in four hundred.
-TEST(LoadReplay, ATaskIsNotGivenBackToTheWorkerThatFailedIt) {
+TEST(LoadReplay, ATaskIsNotRetriedOnTheWorkerThatFailedIt) {
   size_t Failed = 0;
   for (const uint64_t Seed : {1, 2, 3, 4})
-    Failed += failedBesideSickWorkers(Seed);
+    Failed += failedJobsBesideFaultyWorkers(Seed);
   EXPECT_LE(Failed, 5u);
 }
 
 // For 15 s half as much again is asked for as the fleet can do, and only one question in a third of
 // what it needs can be asked at a time; then the load is half of it. Scans and rebuilds of the bad
 // time are late and still wait.
-TEST(LoadReplay, ABacklogDoesNotTakeTheQuestionsOfNewWork) {
+TEST(LoadReplay, ABacklogDoesNotDelayTheAdviceForNewWork) {
   ReplaySetting Setting;
   Setting.Workers = 300;
   Setting.Lanes = 20;
   LoadReplay Given(Setting);
   for (int I = 0; I < 150; ++I)
-    Given.handIn(Milliseconds(I * 100), "old-scan", scan(60));
+    Given.submit(Milliseconds(I * 100), "old-scan", scan(60));
   for (int I = 0; I < 60; ++I)
-    Given.handIn(Milliseconds(I * 250), "old-rebuild", rebuild(40));
+    Given.submit(Milliseconds(I * 250), "old-rebuild", rebuild(40));
   for (int I = 0; I < 600; ++I)
-    Given.handIn(Milliseconds(I * 60), "check", quickCheck());
+    Given.submit(Milliseconds(I * 60), "check", quickCheck());
   for (int I = 0; I < 20; ++I)
-    Given.handIn(Milliseconds(20000 + I * 700), "new-rebuild", rebuild(40));
-  Given.play(60s);
-  EXPECT_GE(inTime(Given.jobs("check")), 590u);
-  EXPECT_GE(inTime(Given.jobs("new-rebuild")), 18u);
-  EXPECT_LT(quantile(waits(Given.jobs("new-rebuild")), 0.5), 4500ms);
-  EXPECT_GE(inTime(Given.jobs("old-scan")), 28u);
+    Given.submit(Milliseconds(20000 + I * 700), "new-rebuild", rebuild(40));
+  Given.runUntil(60s);
+  EXPECT_GE(countInTime(Given.jobs("check")), 590u);
+  EXPECT_GE(countInTime(Given.jobs("new-rebuild")), 18u);
+  EXPECT_LT(quantile(startDelays(Given.jobs("new-rebuild")), 0.5), 4500ms);
+  EXPECT_GE(countInTime(Given.jobs("old-scan")), 28u);
 }
 
 // Wide scans and rebuilds that were handed in while the fleet was full, all late, on a fleet of
 // small workers that is empty now, with 30 questions at a time. Returns when the last one ended.
-Milliseconds timeToEmpty(uint32_t DeadLanes, int Scans, int Rebuilds) {
+Milliseconds drainTime(uint32_t DeadLanes, int Scans, int Rebuilds) {
   ReplaySetting Setting;
   Setting.Workers = 350;
   Setting.WorkerSize = {16000, 32768, 0};
@@ -130,34 +130,32 @@
   Rebuild.Step.Estimate = 4000ms;
   Rebuild.Step.Gang = true;
   for (int I = 0; I < Scans; ++I)
-    Given.handIn(Milliseconds(2 * I), "scan", Scan);
+    Given.submit(Milliseconds(2 * I), "scan", Scan);
   for (int I = 0; I < Rebuilds; ++I)
-    Given.handIn(Milliseconds(5 * I), "rebuild", Rebuild);
-  Given.play(120s);
+    Given.submit(Milliseconds(5 * I), "rebuild", Rebuild);
+  Given.runUntil(120s);
   TimePoint First = TimePoint::max();
   TimePoint Last{};
   for (const char *Kind : {"scan", "rebuild"})
     for (const ReplayedJob &Of : Given.jobs(Kind)) {
       EXPECT_EQ(Of.Phase, JobPhase::Completed);
-      First = std::min(First, Of.HandedIn);
+      First = std::min(First, Of.SubmittedAt);
       Last = std::max(Last, Of.Ended);
     }
   return std::chrono::duration_cast<Milliseconds>(Last - First);
 }
 
 // Room alone would take 8 s: 43,300 core-seconds on 5,600 cores.
-TEST(LoadReplay, ABacklogOnAnEmptyFleetIsDoneInTwiceWhatItsRoomTakes) {
-  EXPECT_LT(timeToEmpty(0, 150, 60), 16s);
+TEST(LoadReplay, ABacklogOnAnIdleFleetDrainsInTwiceTheIdealTime) {
+  EXPECT_LT(drainTime(0, 150, 60), 16s);
 }
 
 // Two thirds of the boxes are cut off from the advice service, and nobody has noticed yet.
-TEST(LoadReplay, ABacklogIsDoneThroughTheLanesThatAnswer) {
-  EXPECT_LT(timeToEmpty(20, 60, 20), 12s);
-}
+TEST(LoadReplay, ABacklogDrainsThroughTheLanesThatAnswer) { EXPECT_LT(drainTime(20, 60, 20), 12s); }
 
 // One organisation hands in five times its share, which is more than the fleet can do; another one
 // stays within its own. Ordered by objective alone, the second waited behind the first.
-TEST(LoadReplay, WhatIsBeyondAShareCostsNobodyElseAJob) {
+TEST(LoadReplay, WorkBeyondAShareDoesNotDelayOtherOrganisations) {
   ReplaySetting Setting;
   Setting.WorkerSize = {16000, 32768, 0};
   LoadReplay Given(Setting);
@@ -170,13 +168,13 @@
   Scan.Step.Estimate = 3400ms;
   Scan.Organisation = "loud";
   for (int I = 0; I < 400; ++I)
-    Given.handIn(Milliseconds(50 * I), "loud", Scan);
+    Given.submit(Milliseconds(50 * I), "loud", Scan);
   Scan.Organisation = "quiet";
   for (int I = 0; I < 60; ++I)
-    Given.handIn(Milliseconds(333 * I), "quiet", Scan);
-  Given.play(60s);
-  EXPECT_EQ(inTime(Given.jobs("quiet")), 60u);
-  EXPECT_GE(inTime(Given.jobs("loud")), 80u) << "its share, at the least";
+    Given.submit(Milliseconds(333 * I), "quiet", Scan);
+  Given.runUntil(60s);
+  EXPECT_EQ(countInTime(Given.jobs("quiet")), 60u);
+  EXPECT_GE(countInTime(Given.jobs("loud")), 80u) << "its share, at the least";
 }
 
 // Scans that need 81 % of a fleet of small workers, beside quick checks of 3 %. With a fifth of
@@ -195,13 +193,13 @@
   Check.Step.Need = {2500, 2500, 0};
   Check.Step.Estimate = 640ms;
   for (int I = 0; I < 270; ++I)
-    Given.handIn(Milliseconds(111 * I), "scan", Scan);
+    Given.submit(Milliseconds(111 * I), "scan", Scan);
   for (int I = 0; I < 300; ++I)
-    Given.handIn(Milliseconds(100 * I), "check", Check);
-  Given.play(50s);
-  EXPECT_LT(quantile(waits(Given.jobs("scan")), 0.9), 200ms);
-  EXPECT_EQ(inTime(Given.jobs("scan")), 270u);
-  EXPECT_GE(inTime(Given.jobs("check")), 297u);
+    Given.submit(Milliseconds(100 * I), "check", Check);
+  Given.runUntil(50s);
+  EXPECT_LT(quantile(startDelays(Given.jobs("scan")), 0.9), 200ms);
+  EXPECT_EQ(countInTime(Given.jobs("scan")), 270u);
+  EXPECT_GE(countInTime(Given.jobs("check")), 297u);
 }
 
 } // namespace
