--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -30,7 +30,7 @@
 constexpr Milliseconds OrderTimeout{300};
 
 // What the store holds.
-struct Kept {
+struct StoredJob {
   JobSpecPtr Spec;
   JobPhase Phase = JobPhase::Live;
   std::string Progress;
@@ -42,19 +42,19 @@
   WorkerModel Model;
   WorkerInfo Info;
   bool Dead = false;
-  bool IsReplaced = false;      ///< It crashed, and another life answers in its place.
-  bool Refuses = false;         ///< It crashed, and nothing listens there.
-  bool Crashed = false;         ///< By a task; nothing answers until it is replaced.
-  Resources Before;             ///< Its capacity counts as this one
-  Milliseconds BeforeCounts{0}; ///< until then: that it shrank has to be heard of.
-  Milliseconds CutUntil{0};
+  bool IsReplaced = false;               ///< It crashed, and another life answers in its place.
+  bool RefusesConnections = false;       ///< It crashed, and nothing listens there.
+  bool Crashed = false;                  ///< By a task; nothing answers until it is replaced.
+  Resources PreviousCapacity;            ///< Its capacity counts as this one
+  Milliseconds PreviousCapacityUntil{0}; ///< until then: that it shrank has to be heard of.
+  Milliseconds UnreachableUntil{0};
   bool ListedGone = false;
 };
 
 // One scheduler process and its view.
 struct Process {
   CellState Cell;
-  bool Over = false;
+  bool HasEnded = false;
   Milliseconds StopsAt{Milliseconds::max()}; ///< A deposed process that does not know it yet.
   std::set<std::pair<JobId, bool>> Saving;   ///< Jobs, and whether it is their end.
   std::map<std::string, std::pair<Milliseconds, Milliseconds>> Clocks; ///< Worker's and ours.
@@ -62,17 +62,17 @@
 using ProcessPtr = std::shared_ptr<Process>;
 
 /// What comes beside the troubles of every world.
-enum class Beside {
-  Nothing,
+enum class Scenario {
+  FaultsOnly,
   Crashes,     ///< Tasks crash their workers, whose capacity changes.
   Evacuations, ///< Availability zones are to be left empty for a while.
 };
 
 class World {
 public:
-  explicit World(uint64_t Seed, Beside With = Beside::Nothing)
-      : Random(Seed), Luck(Seed + 1), IsHarsh(With == Beside::Crashes),
-        Evacuates(With == Beside::Evacuations), StopTime(Seed % 2 ? 50 : 900) {
+  explicit World(uint64_t Seed, Scenario With = Scenario::FaultsOnly)
+      : Random(Seed), ScenarioRandom(Seed + 1), InjectsCrashes(With == Scenario::Crashes),
+        InjectsEvacuations(With == Scenario::Evacuations), StopTime(Seed % 2 ? 50 : 900) {
     for (int I = 0; I < 6; ++I)
       addBox("r" + std::to_string(I / 3));
     changeQuota();
@@ -84,27 +84,27 @@
   int64_t Takeovers = 0;
   int64_t Crashes = 0;
   int64_t GivenUp = 0; ///< Jobs that failed for the crashes under a task.
-  std::vector<std::string> Breaks;
+  std::vector<std::string> Violations;
 
   void play(int64_t Count) {
-    for (int64_t I = 0; I < Count && Breaks.empty(); ++I)
+    for (int64_t I = 0; I < Count && Violations.empty(); ++I)
       step(true);
-    Calm = true;
-    if (Evacuates) { // what no zone has room for waits until it is taken back
-      EmptySince.clear();
+    FaultsOver = true;
+    if (InjectsEvacuations) { // what no zone has room for waits until it is taken back
+      EvacuatedSince.clear();
       Zones = {{}, ++Revision};
       evacuate(Current->Cell, Zones);
     }
     // Everything that was accepted ends once the troubles are over.
-    for (int I = 0; I < 400000 && Breaks.empty() && unfinished() > 0; ++I) {
+    for (int I = 0; I < 400000 && Violations.empty() && unfinished() > 0; ++I) {
       // Now and then a new box: advice may have been against all the others.
       if (I % 20000 == 0)
         for (int Pool = 0; Pool < 3; ++Pool)
           addBox("r0");
       step(false);
     }
-    if (Breaks.empty() && unfinished() > 0)
-      Breaks.push_back(std::to_string(unfinished()) + " jobs never end, such as " + stuckJob());
+    if (Violations.empty() && unfinished() > 0)
+      Violations.push_back(std::to_string(unfinished()) + " jobs never end, such as " + stuckJob());
   }
 
 private:
@@ -113,7 +113,7 @@
   bool chance(double P) { return std::uniform_real_distribution<>(0, 1)(Random) < P; }
   int64_t upTo(int64_t Most) { return std::uniform_int_distribution<int64_t>(0, Most)(Random); }
   void after(Milliseconds Delay, std::function<void()> What) {
-    Calendar.emplace(Now + Delay, std::move(What));
+    PendingEvents.emplace(Now + Delay, std::move(What));
   }
 
   void addBox(const std::string &Rack, const Box *InPlaceOf = nullptr) {
@@ -136,10 +136,10 @@
     Made->Model.StopTime = StopTime;
     Made->Model.PlanOf = [this](const RunKey &Run) { return planOf(Run); };
     Box *Raw = Made.get();
-    Made->Model.OnStart = [this, Raw](const RunKey &Run) { judgeStart(*Raw, Run); };
+    Made->Model.OnStart = [this, Raw](const RunKey &Run) { checkStart(*Raw, Run); };
     Made->Model.OnEnd = [this](const RunKey &Run, RunEnd How) { ended(Run, How); };
     Boxes[Id] = std::move(Made);
-    if (Current && !Current->Over)
+    if (Current && !Current->HasEnded)
       after(Milliseconds(upTo(300)), [this, Id] {
         if (Boxes.count(Id) && !Boxes[Id]->Dead && Current)
           workerListed(Current->Cell, Boxes[Id]->Info, steady());
@@ -160,34 +160,36 @@
   // Operators want one zone empty, or take that back. Schedulers hear of it a little later.
   void changeZones() {
     EvacuatedZones Next{{}, ++Revision};
-    const int64_t Which = std::uniform_int_distribution<int64_t>(0, 5)(Luck);
+    const int64_t Which = std::uniform_int_distribution<int64_t>(0, 5)(ScenarioRandom);
     if (Which < 3)
       Next.Names.insert("z" + std::to_string(Which));
     for (const std::string &Zone : Next.Names)
-      EmptySince.try_emplace(Zone, Now);
-    std::erase_if(EmptySince, [&](const auto &Entry) { return !Next.Names.count(Entry.first); });
+      EvacuatedSince.try_emplace(Zone, Now);
+    std::erase_if(EvacuatedSince,
+                  [&](const auto &Entry) { return !Next.Names.count(Entry.first); });
     Zones = Next;
-    constexpr int64_t MostUntilHeard = 400;
+    constexpr int64_t MaxPropagationMs = 400;
     for (const ProcessPtr &Of : {Current, Previous})
       if (Of)
-        after(Milliseconds(std::uniform_int_distribution<int64_t>(0, MostUntilHeard)(Luck)),
+        after(Milliseconds(
+                  std::uniform_int_distribution<int64_t>(0, MaxPropagationMs)(ScenarioRandom)),
               [Of, Next] { evacuate(Of->Cell, Next); });
   }
 
   // An order, as it leaves its scheduler; it may be carried out long after.
-  void judgeOrder(const Effects::Start &Order) {
-    constexpr Milliseconds HeardWithin{450};
+  void checkOrder(const Effects::Start &Order) {
+    constexpr Milliseconds PropagationLimit{450};
     const auto To = Boxes.find(Order.Worker);
-    const auto Empty =
-        To == Boxes.end() ? EmptySince.end() : EmptySince.find(To->second->Info.Zone);
-    if (Empty != EmptySince.end() && Now - Empty->second > HeardWithin)
-      broken("EVAC", Order.Run);
+    const auto Evacuated =
+        To == Boxes.end() ? EvacuatedSince.end() : EvacuatedSince.find(To->second->Info.Zone);
+    if (Evacuated != EvacuatedSince.end() && Now - Evacuated->second > PropagationLimit)
+      addViolation("EVAC", Order.Run);
   }
 
   // The rules, from the world's own records.
-  void judgeStart(Box &On, const RunKey &Run) {
+  void checkStart(Box &On, const RunKey &Run) {
     ++Starts;
-    const Kept &Of = Store.at(Run.Task.Step.Job);
+    const StoredJob &Of = Store.at(Run.Task.Step.Job);
     const StepSpec &Step = specOf(Run.Task.Step);
     Resources Sum;
     uint32_t OfStep = 0;
@@ -195,29 +197,30 @@
       Sum += specOf(Key.Task.Step).Need;
       OfStep += Key.Task.Step == Run.Task.Step ? 1 : 0;
     }
-    if (!fits(Sum, On.Info.Capacity) && !(Now < On.BeforeCounts && fits(Sum, On.Before)))
-      broken("LIMIT", Run);
-    judgeQuota(*Of.Spec, Run);
+    if (!fits(Sum, On.Info.Capacity) &&
+        !(Now < On.PreviousCapacityUntil && fits(Sum, On.PreviousCapacity)))
+      addViolation("LIMIT", Run);
+    checkQuota(*Of.Spec, Run);
     if (Step.MostPerWorker > 0 && OfStep > Step.MostPerWorker)
-      broken("ROUTE (too many of a step)", Run);
+      addViolation("ROUTE (too many of a step)", Run);
     if (!Step.RequiredLabel.empty() && On.Info.Labels[0] != Step.RequiredLabel)
-      broken("ROUTE (label)", Run);
+      addViolation("ROUTE (label)", Run);
     for (const auto &[Id, Other] : Boxes)
       for (const auto &[Key, What] : Other->Model.Runs)
         if (Other.get() != &On && !Other->Dead && Key.Task == Run.Task)
-          broken("TWICE (at the same time)", Run);
-    if (NotedDone.count(Run.Task))
-      broken("TWICE (after its end was noted)", Run);
+          addViolation("TWICE (at the same time)", Run);
+    if (ForgottenDone.count(Run.Task))
+      addViolation("TWICE (after its end was noted)", Run);
     for (const uint32_t Earlier : Step.After)
       for (uint32_t I = 0; I < Of.Spec->Steps[Earlier].Count; ++I)
-        if (!ReallyDone.count({{Run.Task.Step.Job, 0, Earlier}, I}))
-          broken("ORDER", Run);
-    const auto Failures = NotedFailures.find(Run.Task);
-    if (Failures != NotedFailures.end() &&
+        if (!ActuallyDone.count({{Run.Task.Step.Job, 0, Earlier}, I}))
+          addViolation("ORDER", Run);
+    const auto Failures = ForgottenFailures.find(Run.Task);
+    if (Failures != ForgottenFailures.end() &&
         Failures->second.size() >= static_cast<size_t>(Of.Spec->MaxAttempts))
-      broken("BUDGET", Run);
+      addViolation("BUDGET", Run);
     if (CrashesBy[Run.Task] >= 3 && ++StartsAfter[Run.Task] >= 3)
-      broken("BUDGET (three more after three crashes)", Run);
+      addViolation("BUDGET (three more after three crashes)", Run);
     if (isCrasher(Run.Task))
       after(10ms, [this, &On, Run] {
         if (!On.Dead && On.Model.Runs.count(Run))
@@ -230,14 +233,14 @@
   // One task in thirty crashes each worker that begins it.
   bool isCrasher(const TaskKey &Task) const {
     constexpr uint64_t OneIn = 30;
-    return IsHarsh && std::hash<std::string>()(toString(Task)) % OneIn == 0;
+    return InjectsCrashes && std::hash<std::string>()(toString(Task)) % OneIn == 0;
   }
 
   // What the crash of a worker means for each task there, as the world knows it.
   void noteCrash(const Box &Which) {
     for (const auto &[Run, What] : Which.Model.Runs) {
       ++CrashesUnder[Run.Task];
-      if (Run.Task.Step.Job == Traced)
+      if (Run.Task.Step.Job == TracedJob)
         std::cout << Now.count() << " ms: " << toString(Run.Task) << " truly on " << Which.Info.Id
                   << " as it crashed\n";
     }
@@ -247,21 +250,21 @@
   // later.
   void resizeOne() {
     const auto Draw = [this](int64_t Most) {
-      return std::uniform_int_distribution<int64_t>(0, Most)(Luck);
+      return std::uniform_int_distribution<int64_t>(0, Most)(ScenarioRandom);
     };
-    constexpr Milliseconds HeardWithin{4500}; // the operators' time out and one check-in
+    constexpr Milliseconds PropagationLimit{4500}; // the operators' time out and one check-in
     const auto Which =
         std::next(Boxes.begin(), Draw(static_cast<int64_t>(Boxes.size()) - 1))->second;
     if (Which->Dead)
       return;
-    const bool CountsStill = Now < Which->BeforeCounts;
-    Which->Before =
-        CountsStill ? largest(Which->Before, Which->Info.Capacity) : Which->Info.Capacity;
-    Which->BeforeCounts = Now + HeardWithin;
+    const bool CountsStill = Now < Which->PreviousCapacityUntil;
+    Which->PreviousCapacity =
+        CountsStill ? largest(Which->PreviousCapacity, Which->Info.Capacity) : Which->Info.Capacity;
+    Which->PreviousCapacityUntil = Now + PropagationLimit;
     Which->Info.Capacity = Draw(1) == 0 ? Resources{4000, 4000, 0} : Resources{8000, 8000, 0};
     after(Milliseconds(Draw(1500)), [this, Which] {
       for (const ProcessPtr &Of : {Current, Previous})
-        if (Of && !Of->Over && !Which->Dead)
+        if (Of && !Of->HasEnded && !Which->Dead)
           workerListed(Of->Cell, Which->Info, steady());
     });
   }
@@ -270,7 +273,7 @@
   // from the others, so that worlds without such tasks stay as they are.
   void crashBox(Box &Which, const TaskKey &By) {
     const auto Draw = [this](int64_t Least, int64_t Most) {
-      return Milliseconds(std::uniform_int_distribution<int64_t>(Least, Most)(Luck));
+      return Milliseconds(std::uniform_int_distribution<int64_t>(Least, Most)(ScenarioRandom));
     };
     ++Crashes;
     ++CrashesBy[By];
@@ -278,16 +281,16 @@
     Which.Dead = Which.Crashed = true;
     Which.Model.Runs.clear();
     // Its connections end at once, or it says nothing.
-    constexpr int64_t SaysNothingOneIn = 4;
-    Which.Refuses = Draw(1, SaysNothingOneIn) > 1ms;
-    if (Which.Refuses)
+    constexpr int64_t SilentOneIn = 4;
+    Which.RefusesConnections = Draw(1, SilentOneIn) > 1ms;
+    if (Which.RefusesConnections)
       after(3ms, [this, &Which] {
         for (const ProcessPtr &Of : {Current, Previous})
-          if (Of && !Of->Over)
+          if (Of && !Of->HasEnded)
             workerSilent(Of->Cell, Which.Info.Id);
       });
     after(Draw(500, 1500), [this, &Which] {
-      if (!Current->Over)
+      if (!Current->HasEnded)
         workerUnlisted(Current->Cell, Which.Info.Id, steady());
     });
     after(Draw(300, 6000), [this, &Which] {
@@ -298,7 +301,7 @@
 
   // What an organisation has running on all boxes that live, against the highest maximum that some
   // scheduler may still go by. No allowance.
-  void judgeQuota(const JobSpec &Spec, const RunKey &Run) {
+  void checkQuota(const JobSpec &Spec, const RunKey &Run) {
     if (Spec.Organisation.empty())
       return;
     Resources Sum;
@@ -307,17 +310,17 @@
         if (!Other->Dead && Store.at(Key.Task.Step.Job).Spec->Organisation == Spec.Organisation)
           Sum += specOf(Key.Task.Step).Need;
     int64_t Most = 0;
-    for (const auto &[Until, Maximum] : Maxima[Spec.Organisation])
+    for (const auto &[Until, Maximum] : QuotaHistory[Spec.Organisation])
       if (Until >= Now)
         Most = std::max(Most, Maximum);
     if (Sum.MilliCores > Most || Sum.MemoryMb > Most)
-      broken("QUOTA", Run);
+      addViolation("QUOTA", Run);
   }
 
   // Another configuration, which the scheduler reads a little later. A deposed one does not.
   void changeQuota() {
     for (const char *Name : {"north", "south"}) {
-      auto &Known = Maxima[Name];
+      auto &Known = QuotaHistory[Name];
       if (!Known.empty())
         Known.back().first = Now + 5000ms;
       Known.emplace_back(Milliseconds::max(), 7000 + 4000 * upTo(3));
@@ -334,7 +337,7 @@
     CellConfiguration Config;
     Config.Version = ConfigVersion;
     Config.Organisations.emplace();
-    for (const auto &[Name, Known] : Maxima)
+    for (const auto &[Name, Known] : QuotaHistory)
       Config.Organisations->push_back({Name, {}, 1, {Known.back().second, Known.back().second, 0}});
     return Config;
   }
@@ -355,39 +358,39 @@
   void ended(const RunKey &Run, RunEnd How) {
     const StepSpec &Step = specOf(Run.Task.Step);
     if (How == RunEnd::Failed)
-      ++RealFailures[Step.Gang ? TaskKey{Run.Task.Step, 0} : Run.Task];
+      ++ActualFailures[Step.Gang ? TaskKey{Run.Task.Step, 0} : Run.Task];
     if (How == RunEnd::Done)
       for (uint32_t I = 0; I < Step.Count; ++I)
         if (Step.Gang || I == Run.Task.Index)
-          ReallyDone.insert({Run.Task.Step, I});
+          ActuallyDone.insert({Run.Task.Step, I});
     if (!Step.Gang)
       return;
     // The others learn of it a little later.
     after(5ms, [this, Run, How] {
       for (const auto &[Id, Other] : Boxes) {
-        std::vector<RunKey> Mates;
+        std::vector<RunKey> GangRuns;
         for (const auto &[Key, What] : Other->Model.Runs)
           if (Key.Task.Step == Run.Task.Step && Key.Run == Run.Run && !Other->Dead)
-            Mates.push_back(Key);
-        for (const RunKey &Mate : Mates)
-          Other->Model.end(Mate, How == RunEnd::Done ? RunEnd::Done : RunEnd::Broken);
+            GangRuns.push_back(Key);
+        for (const RunKey &GangRun : GangRuns)
+          Other->Model.end(GangRun, How == RunEnd::Done ? RunEnd::Done : RunEnd::Broken);
       }
     });
   }
 
-  void broken(const std::string &Rule, const RunKey &Run) {
-    Breaks.push_back(Rule + " at " + std::to_string(Now.count()) + " ms: " + toString(Run.Task) +
-                     " run " + std::to_string(Run.Run));
+  void addViolation(const std::string &Rule, const RunKey &Run) {
+    Violations.push_back(Rule + " at " + std::to_string(Now.count()) +
+                         " ms: " + toString(Run.Task) + " run " + std::to_string(Run.Run));
   }
 
   // The process around the decisions.
 
   void apply(const ProcessPtr &Of, Effects &Out) {
     if (Out.Deposed)
-      Of->Over = true;
-    if (Of->Over)
+      Of->HasEnded = true;
+    if (Of->HasEnded)
       return;
-    if (Traced != 0)
+    if (TracedJob != 0)
       trace(*Of, Out);
     for (const Effects::Start &Order : Out.Starts)
       sendStart(Of, Order);
@@ -396,7 +399,7 @@
     for (const Effects::Ask &Question : Out.Asks)
       sendAsk(Of, Question);
     for (const std::string &Id : Out.Looks)
-      sendHold(Of, Id);
+      requestReport(Of, Id);
     if (Out.Save)
       after(Milliseconds(upTo(30)), [this, Of] { save(Of); });
   }
@@ -407,27 +410,29 @@
                        << " ";
     };
     for (const Effects::Start &What : Out.Starts)
-      if (What.Run.Task.Step.Job == Traced)
+      if (What.Run.Task.Step.Job == TracedJob)
         Line(What.Run.Task) << "run " << What.Run.Run << " ordered on " << What.Worker << "\n";
     for (const Effects::LostRun &What : Out.LostRuns)
-      if (What.Run.Task.Step.Job == Traced)
+      if (What.Run.Task.Step.Job == TracedJob)
         Line(What.Run.Task) << "run " << What.Run.Run << " lost with " << What.Worker << ", "
                             << toString(What.Cause) << ", ran " << What.RunTime.count()
                             << " ms, losses " << What.WeightedCrashes << "\n";
     for (const Effects::CrashCountChange &What : Out.CrashCountChanges)
-      if (What.Task.Step.Job == Traced)
+      if (What.Task.Step.Job == TracedJob)
         Line(What.Task) << What.Why << " on " << What.Worker << ", crashes " << What.StartupCrashes
                         << ", doubts " << What.UnconfirmedCrashes << "\n";
   }
 
-  enum class Fate { Fine, AnswerLost, Lost, Late };
-  Fate fateOf(const Box &To) {
-    if (To.Dead || To.CutUntil > Now)
-      return Fate::Lost;
-    if (Calm || !chance(0.08))
-      return Fate::Fine;
+  enum class CallOutcome { Delivered, AnswerLost, Lost, Late };
+  CallOutcome drawOutcome(const Box &To) {
+    if (To.Dead || To.UnreachableUntil > Now)
+      return CallOutcome::Lost;
+    if (FaultsOver || !chance(0.08))
+      return CallOutcome::Delivered;
     const int64_t Which = upTo(2);
-    return Which == 0 ? Fate::AnswerLost : Which == 1 ? Fate::Lost : Fate::Late;
+    return Which == 0   ? CallOutcome::AnswerLost
+           : Which == 1 ? CallOutcome::Lost
+                        : CallOutcome::Late;
   }
 
   Milliseconds workerTime(const Process &Of, const std::string &Id) const {
@@ -441,27 +446,27 @@
     if (Found == Boxes.end())
       return;
     const auto To = Found->second;
-    judgeOrder(Order);
+    checkOrder(Order);
     workerLeased(Of->Cell, Order.Worker, leaseEnd());
     const standins::StartOrderSeen Seen{
         Order.Run, Of->Cell.Fence, workerTime(*Of, Order.Worker) + WorkerLease, Order.Checkpoint};
-    const Fate How = fateOf(*To);
-    const Milliseconds Delay(How == Fate::Late ? 2000 + upTo(10000) : 1 + upTo(10));
+    const CallOutcome How = drawOutcome(*To);
+    const Milliseconds Delay(How == CallOutcome::Late ? 2000 + upTo(10000) : 1 + upTo(10));
     after(Delay, [this, Of, To, Seen, How, Id = Order.Worker] {
       StartResult What = StartResult::Unknown;
       // An unhealthy worker does nothing and says so.
-      if (How == Fate::Fine && !Calm && chance(0.1))
+      if (How == CallOutcome::Delivered && !FaultsOver && chance(0.1))
         What = StartResult::RefusedBusy;
-      else if (How != Fate::Lost && !To->Dead)
+      else if (How != CallOutcome::Lost && !To->Dead)
         What = To->Model.start(Seen);
-      if (To->Refuses && How != Fate::Late)
+      if (To->RefusesConnections && How != CallOutcome::Late)
         return deliverStart(Of, Id, Seen.Run, StartResult::NotSent);
-      if (How != Fate::Fine)
+      if (How != CallOutcome::Delivered)
         return;
       after(Milliseconds(1 + upTo(5)),
             [this, Of, Id, Seen, What] { deliverStart(Of, Id, Seen.Run, What); });
     });
-    if (How != Fate::Fine)
+    if (How != CallOutcome::Delivered)
       after(OrderTimeout, [this, Of, Id = Order.Worker, Run = Order.Run] {
         deliverStart(Of, Id, Run, StartResult::Unknown);
       });
@@ -469,7 +474,7 @@
 
   void deliverStart(const ProcessPtr &Of, const std::string &Id, const RunKey &Run,
                     StartResult What) {
-    if (Of->Over)
+    if (Of->HasEnded)
       return;
     Effects Out;
     startAnswered(Of->Cell, Id, Run, What, steady(), Out);
@@ -481,11 +486,11 @@
     if (Found == Boxes.end())
       return;
     const auto To = Found->second;
-    const Fate How = fateOf(*To);
-    const Milliseconds Delay(How == Fate::Late ? 2000 + upTo(10000) : 1 + upTo(10));
+    const CallOutcome How = drawOutcome(*To);
+    const Milliseconds Delay(How == CallOutcome::Late ? 2000 + upTo(10000) : 1 + upTo(10));
     const uint64_t Fence = Of->Cell.Fence;
     const auto Answer = [this, Of, Id = Order.Worker, Run = Order.Run](bool Acked, bool Refused) {
-      if (Of->Over)
+      if (Of->HasEnded)
         return;
       Effects Out;
       Out.Deposed = Refused;
@@ -494,20 +499,20 @@
       apply(Of, Out);
     };
     after(Delay, [this, To, Run = Order.Run, Fence, How, Answer] {
-      if (How == Fate::Lost || To->Dead)
+      if (How == CallOutcome::Lost || To->Dead)
         return;
       const bool Taken = To->Model.stop(Run, Fence);
-      if (How == Fate::Fine)
+      if (How == CallOutcome::Delivered)
         after(2ms, [Answer, Taken] { Answer(true, !Taken); });
     });
-    if (How != Fate::Fine)
+    if (How != CallOutcome::Delivered)
       after(OrderTimeout, [Answer] { Answer(false, false); });
   }
 
   void sendAsk(const ProcessPtr &Of, const Effects::Ask &Question) {
-    const bool Fails = !Calm && chance(0.05);
+    const bool Fails = !FaultsOver && chance(0.05);
     after(Milliseconds(5 + upTo(40)), [this, Of, Question, Fails] {
-      if (Of->Over)
+      if (Of->HasEnded)
         return;
       if (Fails)
         return adviceFailed(Of->Cell, Question.Step, steady());
@@ -520,13 +525,13 @@
   }
 
   // Asks the worker what it holds. Ends it is told to forget have to be in the store.
-  void sendHold(const ProcessPtr &Of, const std::string &Id) {
+  void requestReport(const ProcessPtr &Of, const std::string &Id) {
     const auto Found = Boxes.find(Id);
     const auto Known = Of->Cell.Workers.find(Id);
-    if (Of->Over || Found == Boxes.end() || Known == Of->Cell.Workers.end())
+    if (Of->HasEnded || Found == Boxes.end() || Known == Of->Cell.Workers.end())
       return;
     const auto To = Found->second;
-    const Fate How = fateOf(*To);
+    const CallOutcome How = drawOutcome(*To);
     const bool Extends = Of->Clocks.count(Id) && Known->second.IsResponsive;
     std::optional<Milliseconds> Until;
     if (Extends) {
@@ -536,19 +541,19 @@
     const uint64_t Forget = Known->second.ForgetThrough;
     const uint64_t Fence = Of->Cell.Fence;
     const TimePoint AskedAt = steady();
-    const Milliseconds Delay(How == Fate::Late ? 2000 + upTo(10000) : 1 + upTo(10));
+    const Milliseconds Delay(How == CallOutcome::Late ? 2000 + upTo(10000) : 1 + upTo(10));
     after(Delay, [=, this] {
-      if (How == Fate::Lost || To->Dead)
+      if (How == CallOutcome::Lost || To->Dead)
         return;
-      noteForgotten(*To, Fence, Forget);
+      checkForgottenEnds(*To, Fence, Forget);
       auto Report = To->Model.hold(Fence, Forget, Until);
-      if (How == Fate::Fine)
+      if (How == CallOutcome::Delivered)
         after(Milliseconds(chance(0.1) ? upTo(1500) : 1 + upTo(20)),
-              [=, this] { heardFrom(Of, Id, Report, AskedAt); });
+              [=, this] { deliverReport(Of, Id, Report, AskedAt); });
     });
-    if (How != Fate::Fine)
+    if (How != CallOutcome::Delivered)
       after(OrderTimeout, [this, Of, Id, To] {
-        if (Of->Over)
+        if (Of->HasEnded)
           return;
         Effects Out;
         // A new life at the same place says so at once.
@@ -560,9 +565,9 @@
       });
   }
 
-  void heardFrom(const ProcessPtr &Of, const std::string &Id,
-                 const std::optional<WorkerReport> &Report, TimePoint AskedAt) {
-    if (Of->Over)
+  void deliverReport(const ProcessPtr &Of, const std::string &Id,
+                     const std::optional<WorkerReport> &Report, TimePoint AskedAt) {
+    if (Of->HasEnded)
       return;
     Effects Out;
     if (!Report) {
@@ -577,7 +582,7 @@
     apply(Of, Out);
   }
 
-  void noteForgotten(const Box &On, uint64_t Fence, uint64_t Through) {
+  void checkForgottenEnds(const Box &On, uint64_t Fence, uint64_t Through) {
     if (Fence < On.Model.Fence)
       return;
     for (const EndedRun &End : On.Model.Ended) {
@@ -585,19 +590,19 @@
         continue;
       const StepSpec &Step = specOf(End.Run.Task.Step);
       if (End.How == RunEnd::Failed && !Step.Gang)
-        NotedFailures[End.Run.Task].insert(End.Run.Run);
+        ForgottenFailures[End.Run.Task].insert(End.Run.Run);
       if (End.How != RunEnd::Done)
         continue;
       for (uint32_t I = 0; I < Step.Count; ++I)
         if (Step.Gang || I == End.Run.Task.Index)
-          NotedDone.insert({End.Run.Task.Step, I});
+          ForgottenDone.insert({End.Run.Task.Step, I});
       if (!isDurable(End.Run.Task))
-        broken("an end was let go before it was saved", End.Run);
+        addViolation("an end was let go before it was saved", End.Run);
     }
   }
 
   bool isDurable(const TaskKey &Task) {
-    const Kept &Of = Store.at(Task.Step.Job);
+    const StoredJob &Of = Store.at(Task.Step.Job);
     if (Of.Phase != JobPhase::Live)
       return true;
     Result<SavedSteps> Saved = decodeProgress(Task.Step.Job, Of.Progress);
@@ -611,7 +616,7 @@
   // Saves jobs one by one, an end also beside progress that is under way; an answer may be lost and
   // the save done or not.
   void save(const ProcessPtr &Of) {
-    if (Of->Over || Of->Cell.Saves.empty())
+    if (Of->HasEnded || Of->Cell.Saves.empty())
       return;
     for (const auto &[Number, Id] : Of->Cell.Saves) {
       const auto Found = Of->Cell.Jobs.find(Id);
@@ -631,26 +636,26 @@
     const uint64_t Number = Job.NeedsSave;
     const JobPhase Phase = Job.Phase;
     const std::string Progress = Phase == JobPhase::Live ? encodeProgress(Job) : "";
-    const bool Loses = !Calm && chance(0.1);
-    const bool Does = !Loses || chance(0.5);
+    const bool LosesAnswer = !FaultsOver && chance(0.1);
+    const bool IsApplied = !LosesAnswer || chance(0.5);
     after(Milliseconds(2 + upTo(20)), [=, this] {
       if (StoreTerm != Of->Cell.Fence) {
-        Of->Over = true;
+        Of->HasEnded = true;
         return;
       }
-      Kept &Row = Store.at(Id);
+      StoredJob &Row = Store.at(Id);
       // Progress does not pass the condition on a job whose end is written.
       const bool Refused = Phase == JobPhase::Live && Row.Phase != JobPhase::Live;
-      if (Does && Row.Phase == JobPhase::Live) {
+      if (IsApplied && Row.Phase == JobPhase::Live) {
         if (Phase == JobPhase::Failed)
-          judgeFailure(*Row.Spec);
+          checkFailure(*Row.Spec);
         Row.Phase = Phase;
         Row.Progress = Progress;
         Row.Revision = ++Revision;
       }
-      after(Loses ? 200ms : 2ms, [=, this] {
+      after(LosesAnswer ? 200ms : 2ms, [=, this] {
         Of->Saving.erase({Id, Ends});
-        if (!Loses && !Refused && !Of->Over)
+        if (!LosesAnswer && !Refused && !Of->HasEnded)
           jobSaved(Of->Cell, Id, Number, Revision, Revision, wall());
         after(1ms, [this, Of] { save(Of); });
       });
@@ -658,8 +663,8 @@
   }
 
   // A job may fail for as many failures of a task as are allowed, or for two crashes under one.
-  void judgeFailure(const JobSpec &Spec) {
-    for (const auto &[Task, Count] : RealFailures)
+  void checkFailure(const JobSpec &Spec) {
+    for (const auto &[Task, Count] : ActualFailures)
       if (Task.Step.Job == Spec.Id && Count >= Spec.MaxAttempts)
         return;
     for (const auto &[Task, Count] : CrashesUnder)
@@ -667,7 +672,7 @@
         ++GivenUp;
         return;
       }
-    broken("LOST (failed without cause)", {{{Spec.Id, 0, 0}, 0}, 0});
+    addViolation("LOST (failed without cause)", {{{Spec.Id, 0, 0}, 0}, 0});
   }
 
   // A new scheduler; the old one may go on for a while without knowing.
@@ -676,7 +681,7 @@
     if (Current)
       Current->StopsAt = chance(0.5) ? Now : Now + Milliseconds(upTo(4000));
     if (Current && Current->StopsAt == Now)
-      Current->Over = true;
+      Current->HasEnded = true;
     auto Next = std::make_shared<Process>();
     CellState &Cell = Next->Cell;
     Cell.Limits.StopTime = StopTime;
@@ -703,7 +708,7 @@
           restoreStep(Cell, Key, Tasks);
       }
     // As the product does; the other kinds of world were drawn without it, and their seeds stay.
-    if (Evacuates)
+    if (InjectsEvacuations)
       for (const auto &[Id, Row] : Store)
         if (Row.Phase != JobPhase::Live)
           Cell.Ended[Id] = {Row.Phase, Row.Revision, wall(), Row.Spec->Organisation};
@@ -750,7 +755,7 @@
     Store[Spec->Id] = {Spec, JobPhase::Live, "", ++Revision, false};
     const ProcessPtr To = Current;
     after(Milliseconds(upTo(50)), [this, To, Spec, At = Revision] {
-      if (!To->Over && To == Current)
+      if (!To->HasEnded && To == Current)
         addJob(To->Cell, Spec, At, true, steady());
     });
   }
@@ -762,91 +767,91 @@
     if (Row->second.Phase != JobPhase::Live)
       return;
     Row->second.Cancelled = true;
-    if (Current->Over)
+    if (Current->HasEnded)
       return;
     Effects Out;
     cancelJob(Current->Cell, Row->first, steady(), Out);
     apply(Current, Out);
   }
 
-  void hurtBox() {
+  void disturbBox() {
     auto Which = std::next(Boxes.begin(), upTo(static_cast<int64_t>(Boxes.size()) - 1))->second;
     if (chance(0.7)) {
-      Which->CutUntil = Now + Milliseconds(upTo(6000));
+      Which->UnreachableUntil = Now + Milliseconds(upTo(6000));
       return;
     }
     if (Which->Dead)
       return;
     if (chance(0.5))
-      return loseBox(*Which);
+      return removeBox(*Which);
     // It says that it leaves, and does.
     Which->Info.Draining = true;
     Which->Info.TimeLeft = Milliseconds(upTo(2000));
-    if (!Current->Over)
+    if (!Current->HasEnded)
       workerListed(Current->Cell, Which->Info, steady());
     after(Which->Info.TimeLeft, [this, Which] {
       if (!Which->Dead)
-        loseBox(*Which);
+        removeBox(*Which);
     });
   }
 
-  void loseBox(Box &Which) {
+  void removeBox(Box &Which) {
     if (!Which.Info.Draining)
       noteCrash(Which);
     Which.Dead = true;
     Which.Model.Runs.clear();
-    if (!Current->Over)
+    if (!Current->HasEnded)
       workerUnlisted(Current->Cell, Which.Info.Id, steady());
     addBox(Which.Info.Rack);
   }
 
-  void step(bool Trouble) {
+  void step(bool InjectFaults) {
     ++Events;
-    if (Trouble) {
+    if (InjectFaults) {
       if (chance(0.010) && unfinished() < 30)
         submit();
       if (chance(0.0010))
         cancelOne();
       if (chance(0.0008))
-        hurtBox();
+        disturbBox();
       if (chance(0.0008))
         unlistOne();
       if (chance(0.0005))
         changeQuota();
       if (chance(0.00015))
         takeOver();
-      if (IsHarsh && std::uniform_real_distribution<>(0, 1)(Luck) < 0.002)
+      if (InjectsCrashes && std::uniform_real_distribution<>(0, 1)(ScenarioRandom) < 0.002)
         resizeOne();
-      if (Evacuates && std::uniform_real_distribution<>(0, 1)(Luck) < 0.002)
+      if (InjectsEvacuations && std::uniform_real_distribution<>(0, 1)(ScenarioRandom) < 0.002)
         changeZones();
     }
-    if (Current->Over && !Pending) {
-      Pending = true;
+    if (Current->HasEnded && !TakeoverScheduled) {
+      TakeoverScheduled = true;
       after(300ms, [this] {
-        Pending = false;
-        if (Current->Over)
+        TakeoverScheduled = false;
+        if (Current->HasEnded)
           takeOver();
       });
     }
     const Milliseconds Before = Now;
-    if (Calendar.empty() || Calendar.begin()->first > Now + 10ms)
+    if (PendingEvents.empty() || PendingEvents.begin()->first > Now + 10ms)
       Now += 10ms;
     else
-      Now = std::max(Now, Calendar.begin()->first);
+      Now = std::max(Now, PendingEvents.begin()->first);
     for (const auto &[Id, Entry] : Boxes)
       if (!Entry->Dead)
         Entry->Model.advance(Entry->Model.Now + (Now - Before));
-    if (!Calendar.empty() && Calendar.begin()->first <= Now) {
-      auto What = std::move(Calendar.begin()->second);
-      Calendar.erase(Calendar.begin());
+    if (!PendingEvents.empty() && PendingEvents.begin()->first <= Now) {
+      auto What = std::move(PendingEvents.begin()->second);
+      PendingEvents.erase(PendingEvents.begin());
       What();
     }
     if (Now / 50ms != Before / 50ms)
-      regular();
+      runSchedulers();
   }
 
   // Workers are noted before their first use; the records of those let go of are removed.
-  void keepRecords(Process &Of) {
+  void updateRecords(Process &Of) {
     if (StoreTerm != Of.Cell.Fence)
       return;
     for (auto &[Id, On] : Of.Cell.Workers) {
@@ -860,32 +865,32 @@
   void unlistOne() {
     const auto Which =
         std::next(Boxes.begin(), upTo(static_cast<int64_t>(Boxes.size()) - 1))->second;
-    if (Which->Dead || Current->Over)
+    if (Which->Dead || Current->HasEnded)
       return;
     workerUnlisted(Current->Cell, Which->Info.Id, steady());
     after(Milliseconds(upTo(3000)), [this, Which] {
-      if (!Which->Dead && !Current->Over)
+      if (!Which->Dead && !Current->HasEnded)
         workerListed(Current->Cell, Which->Info, steady());
     });
   }
 
   // What each scheduler does by itself: tick, place, holds.
-  void regular() {
+  void runSchedulers() {
     for (const ProcessPtr &Of : {Current, Previous}) {
-      if (!Of || Of->Over)
+      if (!Of || Of->HasEnded)
         continue;
       if (Now >= Of->StopsAt) {
-        Of->Over = true;
+        Of->HasEnded = true;
         continue;
       }
-      keepRecords(*Of);
+      updateRecords(*Of);
       Effects Out;
       tick(Of->Cell, steady(), wall(), Out);
       place(Of->Cell, steady(), Out);
       apply(Of, Out);
       for (const auto &[Id, Entry] : Boxes)
         if (chance(0.15))
-          sendHold(Of, Id);
+          requestReport(Of, Id);
       save(Of);
     }
     if (Previous != Current && Current)
@@ -914,16 +919,16 @@
   }
 
   std::mt19937_64 Random;
-  std::mt19937_64 Luck; ///< Of crashes.
-  const bool IsHarsh;
-  const bool Evacuates;
+  std::mt19937_64 ScenarioRandom; ///< Of crashes.
+  const bool InjectsCrashes;
+  const bool InjectsEvacuations;
   const Milliseconds StopTime;
   Milliseconds Now{0};
-  bool Calm = false;
-  bool Pending = false;
-  std::multimap<Milliseconds, std::function<void()>> Calendar;
+  bool FaultsOver = false;
+  bool TakeoverScheduled = false;
+  std::multimap<Milliseconds, std::function<void()>> PendingEvents;
   std::map<std::string, std::shared_ptr<Box>> Boxes;
-  std::map<JobId, Kept> Store;
+  std::map<JobId, StoredJob> Store;
   std::set<std::string> Records; ///< Workers that the store says may be in use.
   uint64_t StoreTerm = 0;
   uint64_t Revision = 0;
@@ -931,32 +936,32 @@
   int LastBox = 0;
   ProcessPtr Current;
   ProcessPtr Previous;
-  EvacuatedZones Zones;                           ///< As the store has them,
-  std::map<std::string, Milliseconds> EmptySince; ///< and since when each of them is.
+  EvacuatedZones Zones;                               ///< As the store has them,
+  std::map<std::string, Milliseconds> EvacuatedSince; ///< and since when each of them is.
   /// By organisation: what it may have running of each kind, and until when a scheduler may go by
   /// it.
-  std::map<std::string, std::vector<std::pair<Milliseconds, int64_t>>> Maxima;
+  std::map<std::string, std::vector<std::pair<Milliseconds, int64_t>>> QuotaHistory;
   uint64_t ConfigVersion = 0;
-  std::set<TaskKey> ReallyDone;
-  std::set<TaskKey> NotedDone;
-  std::map<TaskKey, std::set<uint32_t>> NotedFailures;
-  std::map<TaskKey, int> RealFailures; ///< Of a gang by its first task.
+  std::set<TaskKey> ActuallyDone;
+  std::set<TaskKey> ForgottenDone;
+  std::map<TaskKey, std::set<uint32_t>> ForgottenFailures;
+  std::map<TaskKey, int> ActualFailures; ///< Of a gang by its first task.
   std::map<TaskKey, int> CrashesBy;
   std::map<TaskKey, int> CrashesUnder; ///< Whoever was to blame.
   std::map<TaskKey, int> StartsAfter;  ///< The third crash.
   /// A job whose counts are printed; 0: none.
-  const JobId Traced = static_cast<JobId>(fromEnvironment("VALVESHELF_FUZZ_TRACE", 0));
+  const JobId TracedJob = static_cast<JobId>(fromEnvironment("VALVESHELF_FUZZ_TRACE", 0));
 };
 
 // Worlds one after the other. A broken one does not end the series, so that a long run tells how
 // many of how many broke, and which.
-struct Series {
+struct WorldSeries {
   static constexpr int64_t EventsPerWorld = 20000;
   int64_t Events = fromEnvironment("VALVESHELF_FUZZ_EVENTS", 0);
   int64_t Worlds = 0, Broken = 0;
   int64_t Starts = 0, Takeovers = 0, Crashes = 0, GivenUp = 0;
 
-  Series(int64_t UsualEvents, Beside With) {
+  WorldSeries(int64_t UsualEvents, Scenario With) {
     Events = Events == 0 ? UsualEvents : Events;
     const int64_t First = fromEnvironment("VALVESHELF_FUZZ_SEED", 1);
     for (; Worlds * EventsPerWorld < Events; ++Worlds)
@@ -966,39 +971,39 @@
               << " jobs given up\n";
   }
 
-  void play(uint64_t Seed, Beside With) {
+  void play(uint64_t Seed, Scenario With) {
     World One(Seed, With);
     One.play(EventsPerWorld);
     Starts += One.Starts;
     Takeovers += One.Takeovers;
     Crashes += One.Crashes;
     GivenUp += One.GivenUp;
-    Broken += One.Breaks.empty() ? 0 : 1;
-    EXPECT_TRUE(One.Breaks.empty()) << "seed " << Seed << ": " << One.Breaks.front();
+    Broken += One.Violations.empty() ? 0 : 1;
+    EXPECT_TRUE(One.Violations.empty()) << "seed " << Seed << ": " << One.Violations.front();
   }
 };
 
-TEST(SchedulerFuzz, HoldsItsPromisesInRandomTrouble) {
-  const Series Played(400000, Beside::Nothing);
+TEST(SchedulerFuzz, HoldsItsInvariantsUnderRandomFaults) {
+  const WorldSeries Played(400000, Scenario::FaultsOnly);
   EXPECT_GT(Played.Starts, Played.Events / 200);
 }
 
 TEST(SchedulerFuzz, GivesUpTasksThatCrashTheirWorkersAndNoOthers) {
-  const Series Played(200000, Beside::Crashes);
+  const WorldSeries Played(200000, Scenario::Crashes);
   EXPECT_GT(Played.GivenUp, Played.Events / 20000);
 }
 
-TEST(SchedulerFuzz, StartsNothingInZonesThatAreToBeLeftEmpty) {
-  const Series Played(200000, Beside::Evacuations);
+TEST(SchedulerFuzz, StartsNothingInEvacuatedZones) {
+  const WorldSeries Played(200000, Scenario::Evacuations);
   EXPECT_GT(Played.Starts, Played.Events / 200);
 }
 
-TEST(SchedulerFuzz, SeedsThatFailedOnce) {
+TEST(SchedulerFuzz, SeedsThatLoseAWorkerUnderAPlannedGang) {
   // 5790: a worker died under a planned gang; the rest of the plan stayed booked for ever.
   for (const uint64_t Seed : {5790U}) {
     World One(Seed);
     One.play(20000);
-    EXPECT_TRUE(One.Breaks.empty()) << "seed " << Seed << ": " << One.Breaks.front();
+    EXPECT_TRUE(One.Violations.empty()) << "seed " << Seed << ": " << One.Violations.front();
   }
 }
 
@@ -1006,9 +1011,9 @@
 // did not load ended jobs.
 TEST(SchedulerFuzz, SeedsWithRunsOfEndedJobsAtATakeover) {
   for (const uint64_t Seed : {1138U, 1362U}) {
-    World One(Seed, Beside::Evacuations);
+    World One(Seed, Scenario::Evacuations);
     One.play(20000);
-    EXPECT_TRUE(One.Breaks.empty()) << "seed " << Seed << ": " << One.Breaks.front();
+    EXPECT_TRUE(One.Violations.empty()) << "seed " << Seed << ": " << One.Violations.front();
   }
 }
 
@@ -1017,9 +1022,9 @@
 // known.
 TEST(SchedulerFuzz, SeedsThatGiveUpASoundGang) {
   for (const uint64_t Seed : {5023U, 6078U}) {
-    World One(Seed, Beside::Crashes);
+    World One(Seed, Scenario::Crashes);
     One.play(20000);
-    EXPECT_TRUE(One.Breaks.empty()) << "seed " << Seed << ": " << One.Breaks.front();
+    EXPECT_TRUE(One.Violations.empty()) << "seed " << Seed << ": " << One.Violations.front();
   }
 }
 
@@ -1027,9 +1032,9 @@
 // worlds are 300 ms apart, and their estimates say nothing of the work.
 TEST(SchedulerFuzz, SeedsThatCountRunsWhoseEndsWereUnheard) {
   for (const uint64_t Seed : {532U, 100213U, 100301U, 200461U, 400350U, 720015U}) {
-    World One(Seed, Beside::Crashes);
+    World One(Seed, Scenario::Crashes);
     One.play(20000);
-    EXPECT_TRUE(One.Breaks.empty()) << "seed " << Seed << ": " << One.Breaks.front();
+    EXPECT_TRUE(One.Violations.empty()) << "seed " << Seed << ": " << One.Violations.front();
   }
 }
 
@@ -1037,9 +1042,9 @@
 // nothing of a task is kept, so that both count for nothing.
 TEST(SchedulerFuzz, SeedsThatLoseTwoFirstCrashesToTakeovers) {
   for (const uint64_t Seed : {589U, 100534U, 300047U, 400275U}) {
-    World One(Seed, Beside::Crashes);
+    World One(Seed, Scenario::Crashes);
     One.play(20000);
-    EXPECT_TRUE(One.Breaks.empty()) << "seed " << Seed << ": " << One.Breaks.front();
+    EXPECT_TRUE(One.Violations.empty()) << "seed " << Seed << ": " << One.Violations.front();
   }
 }
 
