--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -65,14 +65,14 @@
   Milliseconds FailureAvoidanceTime{1000}; ///< A task that failed goes elsewhere for so long; a
                                            ///< worker that fails everything is set aside by then.
   int MaxConsecutiveFailures = 3; ///< A worker that failed so many runs in a row is set aside.
-  uint32_t MaxCrashes = 3;   ///< A task that crashed so many workers in a row as it began is given
-                             ///< up. Operators allow it from the second on.
-  uint32_t SureCrashes = 2;  ///< So many of them have to be sure; operators ask for two.
-  uint32_t MaxDoubtful = 4;  ///< Without that; operators allow five starts.
-  uint32_t MaxInherited = 5; ///< With a last start of which nobody is left to tell how it went.
-  uint32_t MaxLosses = 5;    ///< The same for `TaskState::Losses`: a sound task that runs beside
-                             ///< others is on a worker that crashes often enough.
-  Milliseconds BeginTime{500}; ///< So long after its start a run counts as beginning.
+  uint32_t MaxStartupCrashes = 3; ///< A task that crashed so many workers in a row as it began is
+                                  ///< given up. Operators allow it from the second on.
+  uint32_t MinConfirmedCrashes = 2;  ///< So many of them have to be sure; operators ask for two.
+  uint32_t MaxUnconfirmedCrashes = 4;  ///< Without that; operators allow five starts.
+  uint32_t MaxCrashesWithInherited = 5; ///< With a last start of which nobody is left to tell how it went.
+  uint32_t MaxWeightedCrashes = 5; ///< The same for `TaskState::WeightedCrashes`: a sound task that
+                                   ///< runs beside others is on a worker that crashes often enough.
+  Milliseconds StartupTime{500}; ///< So long after its start a run counts as beginning.
 };
 
 /// Where an attempt stands.
@@ -85,12 +85,12 @@
 };
 
 /// How a worker's runs were found to be over without its word.
-enum class LifeEnd {
+enum class WorkerEnd {
   Replaced, ///< Another life answers at its address.
-  Gone,     ///< It is off the platform's list, silent, and its lease is over.
-  Lapsed,   ///< It is listed, silent, and its lease is over; it may be heard again.
+  Unlisted,     ///< It is off the platform's list, silent, and its lease is over.
+  LeaseExpired,   ///< It is listed, silent, and its lease is over; it may be heard again.
 };
-std::string_view toString(LifeEnd How);
+std::string_view toString(WorkerEnd How);
 
 /// Behind all priorities that a queue can have.
 inline constexpr int OverSharePriority = 1'000'000;
@@ -120,40 +120,40 @@
   TimePoint ConfirmedAt{}; ///< When it was surely there: its start was answered, or it was listed
                            ///< in a report asked for then.
   bool SurvivedStartup = false; ///< Its worker has lived through its beginning.
-  bool OnTrial = false;         ///< It begins apart from others; it is counted in `Worker::Trials`.
+  bool OnTrial = false; ///< It begins apart from others; it is counted in `Worker::IsolatedStarts`.
 };
 
 /// One life of a worker and what is booked on it.
 /// Invariant: Booked is the sum of the needs of all attempts that are not Planned, Planned that of
-/// the others, Stoppable that of those that may be stopped; Trials counts those on trial.
+/// the others, Preemptible that of those that may be stopped; IsolatedStarts counts those on trial.
 struct Worker {
   WorkerInfo Info;
   uint32_t Slot = 0;   ///< Its number within this term, in `CellState::Slots`; never used again.
   bool Listed = false; ///< It stands in the platform's list.
-  bool Wanted = false; ///< It is to be used: noted in the store, then asked what it holds.
-  bool Heard = false;  ///< It has answered this scheduler; its attempts are known.
-  bool Answers = true; ///< The last call to it was answered.
-  bool Saved = false;  ///< The store knows that it may hold runs of ours.
-  bool Full = false;   ///< It holds a run whose size nobody knows.
+  bool IsSelected = false; ///< It is to be used: noted in the store, then asked what it holds.
+  bool HasReported = false;  ///< It has answered this scheduler; its attempts are known.
+  bool IsResponsive = true; ///< The last call to it was answered.
+  bool IsRecorded = false;  ///< The store knows that it may hold runs of ours.
+  bool HasUnsizedRun = false;   ///< It holds a run whose size nobody knows.
   Resources Booked;
   Resources Planned;
-  Resources Stoppable; ///< The most that stopping work here could free.
+  Resources Preemptible; ///< The most that stopping work here could free.
   Resources Claimed;   ///< Of its free room, what questions under way are likely to take.
   std::map<RunKey, Attempt> Attempts;
-  uint64_t LastEnd = 0;                              ///< Highest number of an end dealt with.
-  std::deque<std::pair<uint64_t, uint64_t>> Unsaved; ///< Number of an end, and the save it needs.
+  uint64_t LastEndNumber = 0;                              ///< Highest number of an end dealt with.
+  std::deque<std::pair<uint64_t, uint64_t>> UnsavedEnds; ///< Number of an end, and the save it needs.
   uint64_t ForgetThrough = 0;                        ///< Ends up to here are saved.
   TimePoint LeaseEnd{};                              ///< By then everything on it has been killed.
-  int FailuresInARow = 0;
-  TimePoint SetAsideUntil{};
-  TimePoint ReportedAt{};  ///< When it was asked for its last report.
+  int ConsecutiveFailures = 0;
+  TimePoint QuarantinedUntil{};
+  TimePoint ReportAskedAt{};  ///< When it was asked for its last report.
   TimePoint LeavesAt{};    ///< While it drains: it does not leave before.
   TimePoint SlowUntil{};   ///< Since it began its life not long ago.
-  bool Evacuated = false;  ///< Operators want its availability zone empty.
+  bool InEvacuatedZone = false;  ///< Operators want its availability zone empty.
   TimePoint UnlistedAt{};  ///< When it was found missing in the platform's list.
-  uint32_t Trials = 0;     ///< While there is one, nothing else begins here.
+  uint32_t IsolatedStarts = 0;     ///< While there is one, nothing else begins here.
   TimePoint SilentSince{}; ///< When a silence was first counted since it was heard; or 0.
-  bool FellSilent = false; ///< That has still to be counted against what began here.
+  bool HasUncountedSilence = false; ///< That has still to be counted against what began here.
 };
 
 /// What is known of advice for a step. Whether a worker is good for it never changes.
@@ -173,25 +173,26 @@
 
 struct TaskState {
   bool Done = false;
-  Worker *At = nullptr; ///< Where its attempt is; null: none.
+  Worker *AssignedWorker = nullptr; ///< Where its attempt is; null: none.
   uint32_t Run = 0;     ///< The run of its attempt, or the last one.
   std::string Checkpoint;
   std::set<uint32_t> FailedRuns;
-  bool MayRunElsewhere = false; ///< An earlier scheduler may have it on a worker not heard yet.
-  bool MayRunMeanwhile = false; ///< The scheduler before may still start it where nobody has
-                                ///< heard of this one yet.
+  bool MayRunOnUnreportedWorker = false; ///< An earlier scheduler may have it on a worker not heard yet.
+  bool MayBeStartedByPredecessor = false; ///< The scheduler before may still start it where nobody
+                                          ///< has heard of this one yet.
   TimePoint NotBefore{};
-  uint32_t Crashes = 0; ///< Workers in a row that crashed, or fell silent for good, as it began.
-  std::vector<std::string> Doubted;  ///< Of them, those that may not have crashed under it,
-  std::vector<std::string> Vanished; ///< and those that have left the list without a word, and
-                                     ///< count as crashed unless they are heard again.
-  uint32_t Losses = 0;    ///< Workers in a row that crashed while they held it; those that held
-                          ///< nothing else count twice.
-  std::string TrialOn;    ///< While `Crashes` is above 0: the worker where it may have been started
-                          ///< since, which may crash of it; or empty.
-  std::string Inherited;  ///< Of `Doubted`, the `TrialOn` of an earlier scheduler; or empty.
-  uint64_t CrashSave = 0; ///< The save of these that has to be durable before it is started again.
-  bool HasStoodStill = false;       ///< A run of it was stopped because it made no progress.
+  uint32_t StartupCrashes = 0; ///< Workers in a row that crashed, or fell silent for good, as it began.
+  std::vector<std::string> SuspectWorkers;  ///< Of them, those that may not have crashed under it,
+  std::vector<std::string> VanishedWorkers; ///< and those that have left the list without a word,
+                                            ///< and count as crashed unless they are heard again.
+  uint32_t WeightedCrashes = 0;   ///< Workers in a row that crashed while they held it; those that
+                                  ///< held nothing else count twice.
+  std::string PendingStartWorker; ///< While `StartupCrashes` is above 0: the worker where it may
+                                  ///< have been started since, which may crash of it; or empty.
+  std::string InheritedStartWorker; ///< Of `SuspectWorkers`, the `PendingStartWorker` of an earlier
+                                    ///< scheduler; or empty.
+  uint64_t CrashCountSave = 0; ///< The save of these that has to be durable before it is started again.
+  bool HasStalled = false;       ///< A run of it was stopped because it made no progress.
   const Worker *FailedOn = nullptr; ///< Compared only.
   TimePoint FailedAt{};             ///< Its last failure.
 };
@@ -254,10 +255,10 @@
   uint64_t PendingSave = 0; ///< Number of the newest save it needs; 0: saved.
 };
 
-/// A worker that is counted in `TaskState::Crashes` and may be alive. It is kept when the worker is
-/// dropped: what was cut off may be heard again.
-struct DoubtedWorker {
-  TimePoint Since{}; ///< When it was counted last.
+/// A worker that is counted in `TaskState::StartupCrashes` and may be alive. It is kept when the
+/// worker is dropped: what was cut off may be heard again.
+struct SuspectWorker {
+  TimePoint LastSuspectedAt{}; ///< When it was counted last.
   std::set<TaskKey> Tasks;
 };
 
@@ -276,7 +277,7 @@
   /// By name; nodes stay where they are. One that has left the configuration keeps its maximum.
   std::map<std::string, OrganisationState> Organisations;
   std::set<std::string> Services; ///< Of the newest configuration.
-  /// Invariant: `Worker::Evacuated` is true for the workers of these zones and no others.
+  /// Invariant: `Worker::InEvacuatedZone` is true for the workers of these zones and no others.
   EvacuatedZones Evacuated;
   bool HasConfiguration = false; ///< The maxima of organisations are known.
   std::unordered_map<JobId, Job> Jobs;
@@ -293,7 +294,7 @@
                                                         ///< have used, with their services.
   /// By id. Invariant: a task is named here exactly if it names the worker in `Doubted` or
   /// `Vanished`.
-  std::map<std::string, DoubtedWorker> Doubted;
+  std::map<std::string, SuspectWorker> Doubted;
   std::set<RunKey> OrphanedRuns; ///< Runs on workers whose job was not known when they were seen.
   bool Loaded = false;           ///< The store was read; nothing is placed before.
   uint64_t LastSave = 0;
@@ -355,36 +356,36 @@
     int MaxAttempts = 0;
   };
   /// For the log: a run that ended with its worker, which nobody can list any more.
-  struct Loss {
+  struct LostRun {
     RunKey Run;
     std::string Worker;
-    LifeEnd How = LifeEnd::Lapsed;
-    Milliseconds Ran{0};  ///< From the order, or its answer, to when the worker was last heard.
-    uint32_t Crashes = 0; ///< Of the task, as in `TaskState`.
-    uint32_t Doubts = 0;  ///< The size of `TaskState::Doubted`.
-    uint32_t Losses = 0;
+    WorkerEnd Cause = WorkerEnd::LeaseExpired;
+    Milliseconds RunTime{0};  ///< From the order, or its answer, to when the worker was last heard.
+    uint32_t StartupCrashes = 0; ///< Of the task, as in `TaskState`.
+    uint32_t UnconfirmedCrashes = 0; ///< The size of `TaskState::SuspectWorkers`.
+    uint32_t WeightedCrashes = 0;
   };
   /// For the log: a task that is given up with its job, because it crashes its workers.
-  struct GivenUp {
+  struct GivenUpTask {
     TaskKey Task;
-    uint32_t Crashes = 0;
-    uint32_t Doubts = 0;
-    uint32_t Losses = 0;
+    uint32_t StartupCrashes = 0;
+    uint32_t UnconfirmedCrashes = 0;
+    uint32_t WeightedCrashes = 0;
   };
-  /// For the log: a change of `TaskState::Crashes`.
-  struct CrashCount {
+  /// For the log: a change of `TaskState::StartupCrashes`.
+  struct CrashCountChange {
     TaskKey Task;
     std::string Worker; ///< That the change is about; empty: the task has stood its beginning.
     std::string_view Why;
-    uint32_t Crashes = 0;
-    uint32_t Doubts = 0;
+    uint32_t StartupCrashes = 0;
+    uint32_t UnconfirmedCrashes = 0;
   };
   std::vector<Start> Starts;
   std::vector<Placement> Placements;
   std::vector<Failure> Failures;
-  std::vector<Loss> Losses;
-  std::vector<GivenUp> TasksGivenUp;
-  std::vector<CrashCount> CrashCounts;
+  std::vector<LostRun> LostRuns;
+  std::vector<GivenUpTask> TasksGivenUp;
+  std::vector<CrashCountChange> CrashCountChanges;
   std::vector<Stop> Stops;
   std::vector<AdviceRequest> AdviceRequests;
   std::vector<std::string> ReportRequests; ///< Workers to ask at once what they hold.
@@ -464,13 +465,13 @@
 /// True if nothing of ours runs there and no end of it waits for anything.
 bool isIdle(const Worker &On);
 /// True if a worker of the service may hold runs of an earlier scheduler that are not known yet.
-bool isAwaited(const CellState &Cell, const std::string &Service);
+bool hasUnreportedWorkers(const CellState &Cell, const std::string &Service);
 /// Another life answers at its address, or its lease has surely run out and it is gone.
-void workerOver(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
-                LifeEnd How = LifeEnd::Replaced);
+void workerEnded(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
+                WorkerEnd How = WorkerEnd::Replaced);
 /// A lease until \p End, as the process reckons it, may have reached the worker.
 void workerLeased(CellState &Cell, const std::string &Id, TimePoint End);
-void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult What,
+void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult Answer,
                    TimePoint Now, Effects &Out);
 void stopAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, bool Acked,
                   TimePoint Now, Effects &Out);
--- a/src/records/explain.cpp
+++ b/src/records/explain.cpp
@@ -15,16 +15,16 @@
   json::object Text{{"task", Index}, {"done", Task.Done}};
   if (!Task.FailedRuns.empty())
     Text["failed_runs"] = Task.FailedRuns.size();
-  if (Task.Crashes > 0 || Task.Losses > 0) {
-    Text["crashes_of_workers_as_it_began"] = Task.Crashes;
-    Text["crashes_of_workers_under_it"] = Task.Losses;
+  if (Task.StartupCrashes > 0 || Task.WeightedCrashes > 0) {
+    Text["crashes_of_workers_as_it_began"] = Task.StartupCrashes;
+    Text["crashes_of_workers_under_it"] = Task.WeightedCrashes;
   }
-  if (!Task.At)
+  if (!Task.AssignedWorker)
     return Text;
-  Text["worker"] = Task.At->Info.Id;
+  Text["worker"] = Task.AssignedWorker->Info.Id;
   Text["run"] = Task.Run;
-  const auto Found = Task.At->Attempts.find({{Step.Key, Index}, Task.Run});
-  if (Found == Task.At->Attempts.end())
+  const auto Found = Task.AssignedWorker->Attempts.find({{Step.Key, Index}, Task.Run});
+  if (Found == Task.AssignedWorker->Attempts.end())
     return Text;
   Text["phase"] = PhaseNames[static_cast<int>(Found->second.Phase)];
   Text["percent"] = Found->second.Percent;
@@ -49,15 +49,15 @@
   for (const auto &[Id, On] : Cell.Workers) {
     if (On.Info.Service != Of.Spec->Service)
       ++OtherService;
-    else if (!On.Heard || !On.Answers)
+    else if (!On.HasReported || !On.IsResponsive)
       ++Silent;
     else if (!On.Listed || On.Info.Draining)
       ++Leaving;
-    else if (On.Evacuated)
+    else if (On.InEvacuatedZone)
       ++Evacuated;
-    else if (On.SetAsideUntil > Now)
+    else if (On.QuarantinedUntil > Now)
       ++SetAside;
-    else if (On.Trials > 0)
+    else if (On.IsolatedStarts > 0)
       ++OnTrial;
     else if (Of.Spec->Advice && !hasAdviceOn(Step, On))
       ++NotAsked;
--- a/src/scheduler/advice.cpp
+++ b/src/scheduler/advice.cpp
@@ -61,7 +61,7 @@
   Pass.Cell.WorkerShortage =
       std::any_of(Pass.Cell.Workers.begin(), Pass.Cell.Workers.end(), [&](const auto &Entry) {
         const Worker &W = Entry.second;
-        return !W.Wanted && takesWork(W) && W.Info.Service == J.Spec->Service &&
+        return !W.IsSelected && takesWork(W) && W.Info.Service == J.Spec->Service &&
                fits(Need, W.Info.Capacity) && hasLabel(W.Info, Step.Spec->RequiredLabel);
       });
 }
@@ -386,7 +386,7 @@
 bool shouldRequestAdvice(const PlacementPass &Pass, const Job &J, const StepState &Step) {
   return Pass.ReportPendingServices.count(J.Spec->Service) == 0 ||
          std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
-                     [](const TaskState &Task) { return !Task.At && !Task.MayRunElsewhere; });
+                     [](const TaskState &Task) { return !Task.AssignedWorker && !Task.MayRunOnUnreportedWorker; });
 }
 
 const AdviceState::Permit *findPermit(const StepState &Step, const Worker &W) {
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -94,7 +94,7 @@
 
 void dropPlan(PlacementPass &Pass, StepState &Step) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    if (Worker *W = Step.Tasks[I].At)
+    if (Worker *W = Step.Tasks[I].AssignedWorker)
       dropPlanned(Pass.Cell, *W, {{Step.Key, I}, Step.Tasks[I].Run}, Pass.Out);
   for (TaskState &Task : Step.Tasks)
     Task.NotBefore = Pass.Now + ReplanPause;
@@ -104,7 +104,7 @@
 bool mayLaunchAll(PlacementPass &Pass, const StepState &Step) {
   bool All = true;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    All = mayLaunch(Pass.Cell, {Step.Key, I}, *Step.Tasks[I].At, Pass.Out) && All;
+    All = mayStartNow(Pass.Cell, {Step.Key, I}, *Step.Tasks[I].AssignedWorker, Pass.Out) && All;
   return All;
 }
 
@@ -112,7 +112,7 @@
 bool launchGang(PlacementPass &Pass, const Job &J, StepState &Step) {
   std::set<Worker *> Workers;
   for (const TaskState &Task : Step.Tasks)
-    Workers.insert(Task.At);
+    Workers.insert(Task.AssignedWorker);
   // Tickets that would run out while others are asked for are asked for with them; otherwise those
   // of a gang on many workers are never all valid together.
   const Milliseconds Latency = adviceLatency(Pass, J, Step, Workers.size());
@@ -143,7 +143,7 @@
     return false;
   }
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    Worker &W = *Step.Tasks[I].At;
+    Worker &W = *Step.Tasks[I].AssignedWorker;
     orderStart(Pass, J, Step, I, W, W.Attempts.at({{Step.Key, I}, Step.GangRun}));
   }
   Step.WaitReason.clear();
@@ -152,16 +152,16 @@
 
 bool isPlanned(const StepState &Step) {
   const TaskState &First = Step.Tasks.front();
-  if (!First.At || Step.BookedTasks < Step.Tasks.size())
+  if (!First.AssignedWorker || Step.BookedTasks < Step.Tasks.size())
     return false;
-  const auto Found = First.At->Attempts.find({{Step.Key, 0}, First.Run});
-  return Found != First.At->Attempts.end() && Found->second.Phase == AttemptPhase::Planned;
+  const auto Found = First.AssignedWorker->Attempts.find({{Step.Key, 0}, First.Run});
+  return Found != First.AssignedWorker->Attempts.end() && Found->second.Phase == AttemptPhase::Planned;
 }
 
 // Members whose room is only held go when others of the plan have lost theirs with their worker.
 void dropPartialPlan(PlacementPass &Pass, StepState &Step) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    Worker *W = Step.Tasks[I].At;
+    Worker *W = Step.Tasks[I].AssignedWorker;
     const RunKey Run{{Step.Key, I}, Step.Tasks[I].Run};
     if (W && W->Attempts.at(Run).Phase == AttemptPhase::Planned)
       dropPlanned(Pass.Cell, *W, Run, Pass.Out);
--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -66,7 +66,7 @@
       for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
         const Attempt *A = attemptOf(Step, I);
         if (A && A->EndExpectedSince == TimePoint{})
-          stopAttempt(Cell, *Step.Tasks[I].At, {{Step.Key, I}, Step.Tasks[I].Run}, Why, Now, Out);
+          stopAttempt(Cell, *Step.Tasks[I].AssignedWorker, {{Step.Key, I}, Step.Tasks[I].Run}, Why, Now, Out);
       }
     }
 }
@@ -75,8 +75,8 @@
 void stopSupersededRun(CellState &Cell, StepState &Step, const RunKey &Ended, TimePoint Now,
                        Effects &Out) {
   const TaskState &Task = Step.Tasks[Ended.Task.Index];
-  if (Task.At && Task.Run != Ended.Run)
-    stopAttempt(Cell, *Task.At, {Ended.Task, Task.Run}, "an earlier run is done", Now, Out);
+  if (Task.AssignedWorker && Task.Run != Ended.Run)
+    stopAttempt(Cell, *Task.AssignedWorker, {Ended.Task, Task.Run}, "an earlier run is done", Now, Out);
 }
 
 void stepDone(CellState &Cell, Job &J, RoundState &Round, TimePoint Now, Effects &Out) {
@@ -140,10 +140,10 @@
 
 Attempt *attemptOf(const StepState &Step, uint32_t Index) {
   const TaskState &Task = Step.Tasks[Index];
-  if (!Task.At)
+  if (!Task.AssignedWorker)
     return nullptr;
-  const auto Found = Task.At->Attempts.find({{Step.Key, Index}, Task.Run});
-  return Found == Task.At->Attempts.end() ? nullptr : &Found->second;
+  const auto Found = Task.AssignedWorker->Attempts.find({{Step.Key, Index}, Task.Run});
+  return Found == Task.AssignedWorker->Attempts.end() ? nullptr : &Found->second;
 }
 
 StepState *findStep(CellState &Cell, const StepKey &Key) {
@@ -191,7 +191,7 @@
   RoundState &Round = makeRound(Cell, J, 0, Now);
   for (StepState &Step : Round.Steps)
     for (TaskState &Task : Step.Tasks)
-      (Fresh ? Task.MayRunMeanwhile : Task.MayRunElsewhere) =
+      (Fresh ? Task.MayBeStartedByPredecessor : Task.MayRunOnUnreportedWorker) =
           !Fresh || !Cell.UnreportedWorkers.empty();
 }
 
@@ -205,7 +205,7 @@
     RoundState &Round = makeRound(Cell, J, Key.Round, Cell.WallAt);
     for (StepState &Step : Round.Steps)
       for (TaskState &Task : Step.Tasks)
-        Task.MayRunElsewhere = true;
+        Task.MayRunOnUnreportedWorker = true;
   }
   StepState *Step = findStep(Cell, Key);
   if (!Step)
@@ -219,18 +219,18 @@
       --Step->OpenTasks;
     }
     Task.Checkpoint = Saved.Checkpoint;
-    Task.Crashes = Saved.Crashes;
-    Task.Doubted = Saved.Doubted;
-    Task.Vanished = Saved.Vanished;
-    Task.Inherited = Saved.TrialOn;
+    Task.StartupCrashes = Saved.Crashes;
+    Task.SuspectWorkers = Saved.Doubted;
+    Task.VanishedWorkers = Saved.Vanished;
+    Task.InheritedStartWorker = Saved.TrialOn;
     if (!Saved.TrialOn.empty()) {
-      ++Task.Crashes;
-      Task.Doubted.push_back(Saved.TrialOn);
+      ++Task.StartupCrashes;
+      Task.SuspectWorkers.push_back(Saved.TrialOn);
     }
-    for (const auto *Workers : {&Task.Doubted, &Task.Vanished})
+    for (const auto *Workers : {&Task.SuspectWorkers, &Task.VanishedWorkers})
       for (const std::string &Worker : *Workers)
-        noteDoubted(Cell, {Key, Saved.Index}, Worker, Cell.WallAt);
-    Task.Losses = Saved.Losses;
+        indexSuspectWorker(Cell, {Key, Saved.Index}, Worker, Cell.WallAt);
+    Task.WeightedCrashes = Saved.Losses;
     (Step->Spec->Gang ? Step->GangFailures : Task.FailedRuns)
         .insert(Saved.FailedRuns.begin(), Saved.FailedRuns.end());
   }
@@ -264,7 +264,7 @@
     if (J.Phase == JobPhase::Live && J.RoundsDone >= std::max<uint32_t>(J.Spec->Repetitions, 1))
       endJob(Cell, J, JobPhase::Completed, "the job is complete", Now, Out);
   }
-  giveUpInherited(Cell, Now, Out);
+  giveUpRestoredTasks(Cell, Now, Out);
 }
 
 void cancelJob(CellState &Cell, JobId Id, TimePoint Now, Effects &Out) {
@@ -297,13 +297,13 @@
     Worker *W = Cell.Slots[Slot];
     if (!W)
       return true;
-    while (!W->Unsaved.empty() && !Cell.PendingSaves.count(W->Unsaved.front().second)) {
-      W->ForgetThrough = W->Unsaved.front().first;
-      W->Unsaved.pop_front();
+    while (!W->UnsavedEnds.empty() && !Cell.PendingSaves.count(W->UnsavedEnds.front().second)) {
+      W->ForgetThrough = W->UnsavedEnds.front().first;
+      W->UnsavedEnds.pop_front();
     }
-    if (W->Unsaved.empty())
+    if (W->UnsavedEnds.empty())
       Clear.push_back(W->Info.Id);
-    return W->Unsaved.empty();
+    return W->UnsavedEnds.empty();
   });
   return Clear;
 }
@@ -321,7 +321,7 @@
   const JobId Id = J.Spec->Id;
   Cell.EndedJobs[Id] = {J.Phase, Revision, Now, J.Spec->Organisation};
   Cell.EndedByAge.emplace_back(Now, Id);
-  dropDoubts(Cell, J);
+  removeJobFromSuspectIndex(Cell, J);
   Cell.Jobs.erase(Id);
 }
 } // namespace
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -8,39 +8,39 @@
 namespace valveshelf::sched {
 namespace {
 // Work on workers that leave is looked for this often; they announce it two seconds before or more.
-constexpr Milliseconds LeaveLookEvery{100};
+constexpr Milliseconds DrainCheckInterval{100};
 // Some leave without a word: a worker that answers and is missing in the list for so long is taken
 // to leave. Entries that lapsed with the store's outage are back within two seconds of its end.
-constexpr Milliseconds MissingTime{2500};
+constexpr Milliseconds UnlistedGraceTime{2500};
 
 // A lasting task that was started is at work from when it says so.
-constexpr int AtWorkPercent = 100;
+constexpr int ServingPercent = 100;
 
 // Tasks of a lasting step that do not serve just now.
-uint32_t notAtWork(const StepState &Step) {
-  uint32_t Away = 0;
+uint32_t countNotServing(const StepState &Step) {
+  uint32_t NotServing = 0;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    const Attempt *What = attemptOf(Step, I);
+    const Attempt *Entry = attemptOf(Step, I);
     const bool Serves =
-        What && What->Phase == AttemptPhase::Running && What->Percent >= AtWorkPercent;
-    Away += Serves ? 0 : 1;
+        Entry && Entry->Phase == AttemptPhase::Running && Entry->Percent >= ServingPercent;
+    NotServing += Serves ? 0 : 1;
   }
-  return Away;
+  return NotServing;
 }
 
 // True if the run would be lost with its worker and can go on elsewhere.
 bool shouldMove(const PlacementPass &In, const StepState &Step, const Worker &On,
-                const Attempt &What) {
+                const Attempt &Entry) {
   const StepSpec &Spec = *Step.Spec;
-  if (What.Phase != AttemptPhase::Running || Spec.Gang)
+  if (Entry.Phase != AttemptPhase::Running || Spec.Gang)
     return false;
   if (Spec.Lasting)
-    return Spec.MayMiss == 0 || notAtWork(Step) < Spec.MayMiss;
+    return Spec.MayMiss == 0 || countNotServing(Step) < Spec.MayMiss;
   if (!Spec.Checkpoints)
     return false;
-  const Milliseconds Left = What.Estimate * (100 - What.Percent) / 100;
+  const Milliseconds Left = Entry.Estimate * (100 - Entry.Percent) / 100;
   // Nobody says when a zone that is emptied goes: what would take longer to move than to end stays.
-  return On.Info.Draining || !On.Evacuated ? In.Now + Left > On.LeavesAt
+  return On.Info.Draining || !On.InEvacuatedZone ? In.Now + Left > On.LeavesAt
                                            : Left > In.Cell.Limits.PreemptionMargin;
 }
 
@@ -58,8 +58,8 @@
 }
 
 bool isLeaving(const PlacementPass &In, const Worker &On) {
-  const bool Missing = !On.Listed && In.Now - On.UnlistedAt > MissingTime;
-  return On.Heard && On.Answers && (On.Info.Draining || On.Evacuated || Missing);
+  const bool Missing = !On.Listed && In.Now - On.UnlistedAt > UnlistedGraceTime;
+  return On.HasReported && On.IsResponsive && (On.Info.Draining || On.InEvacuatedZone || Missing);
 }
 
 void moveIfNeeded(PlacementPass &In, Worker &On, const RunKey &Run) {
@@ -70,7 +70,7 @@
   const Job &Of = In.Cell.Jobs.at(Step->Key.Job);
   if (Of.Phase == JobPhase::Live && hasPlaceElsewhere(In, Of, *Step, Step->Tasks[Run.Task.Index]))
     stopAttempt(In.Cell, On, Run,
-                On.Evacuated ? "its availability zone is emptied" : "its worker leaves", In.Now,
+                On.InEvacuatedZone ? "its availability zone is emptied" : "its worker leaves", In.Now,
                 In.Out);
 }
 } // namespace
@@ -81,13 +81,13 @@
 void migrateFromLeavingWorkers(PlacementPass &In) {
   if (In.Now < In.Cell.NextLeaveScan)
     return;
-  In.Cell.NextLeaveScan = In.Now + LeaveLookEvery;
+  In.Cell.NextLeaveScan = In.Now + DrainCheckInterval;
   for (auto &[Id, On] : In.Cell.Workers) {
     if (!isLeaving(In, On))
       continue;
     std::vector<RunKey> Runs; // a stop may remove entries of the map
     Runs.reserve(On.Attempts.size());
-    for (const auto &[Run, What] : On.Attempts)
+    for (const auto &[Run, Entry] : On.Attempts)
       Runs.push_back(Run);
     for (const RunKey &Run : Runs)
       moveIfNeeded(In, On, Run);
--- a/src/scheduler/organisations.cpp
+++ b/src/scheduler/organisations.cpp
@@ -61,8 +61,8 @@
   const bool HasPendingReport = Pass.ReportPendingServices.count(Service) > 0;
   uint32_t Count = 0;
   for (const TaskState &Task : Step.Tasks)
-    if (!Task.Done && !Task.At &&
-        ((Task.MayRunElsewhere && HasUnreported) || (Task.MayRunMeanwhile && HasPendingReport)))
+    if (!Task.Done && !Task.AssignedWorker &&
+        ((Task.MayRunOnUnreportedWorker && HasUnreported) || (Task.MayBeStartedByPredecessor && HasPendingReport)))
       ++Count;
   return Count;
 }
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -23,7 +23,7 @@
   for (const auto &[Id, Service] : Cell.UnreportedWorkers) {
     Pass.UnreportedServices.insert(Service);
     const auto Found = Cell.Workers.find(Id);
-    if (Found != Cell.Workers.end() && Found->second.Answers && !Found->second.Heard)
+    if (Found != Cell.Workers.end() && Found->second.IsResponsive && !Found->second.HasReported)
       Pass.ReportPendingServices.insert(Service);
   }
   Pass.KeepsUrgentReserve = isUrgentCapacityScarce(Cell);
@@ -75,10 +75,10 @@
 bool isPlaceable(const PlacementPass &Pass, const Job &J, const StepState &Step, uint32_t Index) {
   const TaskState &Task = Step.Tasks[Index];
   const std::string &Service = J.Spec->Service;
-  const bool MayRun = (Task.MayRunElsewhere && Pass.UnreportedServices.count(Service) > 0) ||
-                      (Task.MayRunMeanwhile && Pass.ReportPendingServices.count(Service) > 0);
-  return !Task.Done && !Task.At && !MayRun && Task.NotBefore <= Pass.Now &&
-         !waitsForCrashSave(Pass.Cell, Task) && !hasOrphanedRun(Pass.Cell, {Step.Key, Index});
+  const bool MayRun = (Task.MayRunOnUnreportedWorker && Pass.UnreportedServices.count(Service) > 0) ||
+                      (Task.MayBeStartedByPredecessor && Pass.ReportPendingServices.count(Service) > 0);
+  return !Task.Done && !Task.AssignedWorker && !MayRun && Task.NotBefore <= Pass.Now &&
+         !awaitsCrashCountSave(Pass.Cell, Task) && !hasOrphanedRun(Pass.Cell, {Step.Key, Index});
 }
 
 namespace {
@@ -88,7 +88,7 @@
     return;
   std::vector<std::string> NoTicket;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
-    Worker *W = Step.Tasks[I].At;
+    Worker *W = Step.Tasks[I].AssignedWorker;
     if (!W)
       continue;
     const RunKey Run{{Step.Key, I}, Step.Tasks[I].Run};
@@ -101,7 +101,7 @@
     else if (!hasTicket(Pass, J, Step, *W))
       NoTicket.push_back(W->Info.Id);
     else if (fits(A.Need, W->Info.Capacity - W->Booked) &&
-             (!A.OnTrial || (isQuiet(*W, &Run) && mayLaunch(Pass.Cell, Run.Task, *W, Pass.Out))))
+             (!A.OnTrial || (hasNoOtherStartups(*W, &Run) && mayStartNow(Pass.Cell, Run.Task, *W, Pass.Out))))
       orderStart(Pass, J, Step, I, *W, A);
   }
   std::sort(NoTicket.begin(), NoTicket.end());
@@ -121,7 +121,7 @@
   bool WaitsForSave = false;
   for (uint32_t I = 0; I < Step.Tasks.size() && !Missed; ++I) {
     TaskState &Task = Step.Tasks[I];
-    WaitsForSave = WaitsForSave || waitsForCrashSave(Pass.Cell, Task);
+    WaitsForSave = WaitsForSave || awaitsCrashCountSave(Pass.Cell, Task);
     if (!isPlaceable(Pass, J, Step, I))
       continue;
     OverQuota = !isWithinQuota(Pass.Cell, J.Owner, Step.Spec->Need);
@@ -130,7 +130,7 @@
       continue;
     }
     Worker *W = selectWorker(Pass, J, Step, Task);
-    const bool Preempts = !W && !beginsApart(Step, Task) && !Step.Queued->Late &&
+    const bool Preempts = !W && !needsIsolatedStart(Step, Task) && !Step.Queued->Late &&
                           benefitsFromPreemption(Pass, J, Step);
     if (Preempts)
       W = selectWorkerToPreempt(Pass, J, Step, Task);
@@ -191,7 +191,7 @@
 // True if the step has a task that still has to be placed or launched.
 bool hasUnstartedTasks(const StepState &Step) {
   return Step.PlannedTasks > 0 || std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
-                                              [](const TaskState &T) { return !T.Done && !T.At; });
+                                              [](const TaskState &T) { return !T.Done && !T.AssignedWorker; });
 }
 } // namespace
 
--- a/src/scheduler/placement_test.cpp
+++ b/src/scheduler/placement_test.cpp
@@ -100,7 +100,7 @@
   ASSERT_EQ(Given.pass().AdviceRequests.size(), 1u);
   Effects Out;
   const StepKey Step{Job, 0, 0};
-  workerOver(Given.Cell, "w0", Given.Now, Out);
+  workerEnded(Given.Cell, "w0", Given.Now, Out);
   Given.addWorker("w2"); // its slot is a new one
   adviceAnswered(Given.Cell, Step, {"w0", "w1"}, {{"w0", "t0"}}, 1500ms, Given.Now);
   const Effects After = Given.pass();
@@ -207,7 +207,7 @@
 void endRun(PlacementScene &Given, const Effects::Start &Order, RunEnd How) {
   Worker &W = Given.Cell.Workers.at(Order.Worker);
   WorkerReport Report;
-  Report.Ended.push_back({W.LastEnd + 1, Order.Run, How, ""});
+  Report.Ended.push_back({W.LastEndNumber + 1, Order.Run, How, ""});
   for (const auto &[Run, A] : W.Attempts)
     if (!(Run == Order.Run))
       Report.Active.push_back({Run, "", A.Percent});
@@ -297,7 +297,7 @@
     tick(Given.Cell, Given.Now, WallTime(1000s), Out);
     ASSERT_EQ(Out.Stops.size(), 1u);
     const Worker &W = Given.Cell.Workers.at(Starts[0].Worker);
-    EXPECT_EQ(W.SetAsideUntil > Given.Now, Round == 0);
+    EXPECT_EQ(W.QuarantinedUntil > Given.Now, Round == 0);
     endRun(Given, Starts[0], RunEnd::Stopped);
   }
 }
@@ -381,7 +381,7 @@
 
 int64_t countWanted(const PlacementScene &Given) {
   return std::count_if(Given.Cell.Workers.begin(), Given.Cell.Workers.end(),
-                       [](const auto &Entry) { return Entry.second.Wanted; });
+                       [](const auto &Entry) { return Entry.second.IsSelected; });
 }
 
 void runTicks(PlacementScene &Given, int Count) {
@@ -391,8 +391,8 @@
     tick(Given.Cell, Given.Now, WallTime(1000s), Out);
     place(Given.Cell, Given.Now, Out);
     for (auto &[Id, W] : Given.Cell.Workers)
-      if (W.Wanted && !W.Heard) {
-        W.Saved = true;
+      if (W.IsSelected && !W.HasReported) {
+        W.IsRecorded = true;
         workerReported(Given.Cell, Id, {}, Given.Now, Given.Now, Out);
       }
   }
@@ -665,8 +665,8 @@
   }
   Effects Out;
   tick(Given.Cell, Given.Now, WallTime(1000s), Out);
-  EXPECT_TRUE(Given.Cell.Workers.at("pool").Wanted);
-  EXPECT_FALSE(Given.Cell.Workers.at("elsewhere").Wanted);
+  EXPECT_TRUE(Given.Cell.Workers.at("pool").IsSelected);
+  EXPECT_FALSE(Given.Cell.Workers.at("elsewhere").IsSelected);
 }
 
 } // namespace
--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -24,13 +24,13 @@
 }
 
 bool isEligible(const PlacementPass &Pass, const Worker &W, const Job &J, const StepState &Step) {
-  return W.Heard && W.Saved && takesWork(W) && W.Answers && !W.Full &&
-         W.SetAsideUntil <= Pass.Now && W.Info.Service == J.Spec->Service &&
+  return W.HasReported && W.IsRecorded && takesWork(W) && W.IsResponsive && !W.HasUnsizedRun &&
+         W.QuarantinedUntil <= Pass.Now && W.Info.Service == J.Spec->Service &&
          hasLabel(W.Info, Step.Spec->RequiredLabel);
 }
 
 bool isUsable(const PlacementPass &Pass, const Worker &W, const Job &J, const StepState &Step) {
-  return W.Trials == 0 && isEligible(Pass, W, J, Step);
+  return W.IsolatedStarts == 0 && isEligible(Pass, W, J, Step);
 }
 
 namespace {
@@ -60,7 +60,7 @@
   for (size_t I = 0; I < Count; ++I) {
     const size_t Slot = (First + I) % Count;
     const Worker *W = Cell.Slots[Slot];
-    if (!W || !W->Heard || !W->Answers || !takesWork(*W))
+    if (!W || !W->HasReported || !W->IsResponsive || !takesWork(*W))
       continue;
     const int64_t FittingHere =
         countFitting(Need, W->Info.Capacity - W->Booked - W->Planned, Required);
@@ -78,7 +78,7 @@
     return *Pass.MaxFree;
   Pass.MaxFree.emplace();
   for (const Worker *W : Pass.Cell.Slots)
-    if (W && W->Heard && !W->Evacuated)
+    if (W && W->HasReported && !W->InEvacuatedZone)
       *Pass.MaxFree =
           componentMax(*Pass.MaxFree, W->Info.Capacity - W->Booked - W->Planned - W->Claimed);
   return *Pass.MaxFree;
@@ -119,7 +119,7 @@
 
 uint32_t countTasksOn(const StepState &Step, const Worker &W) {
   return static_cast<uint32_t>(std::count_if(Step.Tasks.begin(), Step.Tasks.end(),
-                                             [&](const TaskState &Task) { return Task.At == &W; }));
+                                             [&](const TaskState &Task) { return Task.AssignedWorker == &W; }));
 }
 
 bool isAtTaskLimit(const StepState &Step, const Worker &W) {
@@ -155,7 +155,7 @@
 
 Resources preemptibleResources(const PlacementPass &Pass, const Worker &W, int Priority) {
   Resources Sum;
-  if (W.Stoppable == Resources{})
+  if (W.Preemptible == Resources{})
     return Sum;
   for (const auto &[Run, A] : W.Attempts)
     if (canPreempt(Pass, A, Priority))
@@ -203,8 +203,8 @@
   // A caller waits for the slowest task: a worker that is still slow is taken when no other is.
   Value.Penalty += W.SlowUntil > Pass.Now ? SlowWorkerPenalty : 0;
   // What may crash its worker goes where it can begin at once and takes least with it.
-  const bool Isolated = beginsApart(Step, Task);
-  Value.Penalty += Isolated && !isQuiet(W) ? BusyStartupPenalty : 0;
+  const bool Isolated = needsIsolatedStart(Step, Task);
+  Value.Penalty += Isolated && !hasNoOtherStartups(W) ? BusyStartupPenalty : 0;
   // Urgent work is spread; work that can wait is packed, which leaves large gaps for gangs.
   const int64_t Remaining = freeCapacityFor(Pass, W, J, Step).MilliCores;
   Value.Remaining = J.Spec->Priority == 0 || Isolated ? -Remaining : Remaining;
@@ -216,7 +216,7 @@
   Worker *Best = nullptr;
   Score BestScore;
   const Resources Need = needOf(Step);
-  const bool Isolated = beginsApart(Step, Task);
+  const bool Isolated = needsIsolatedStart(Step, Task);
   forEachAdvisedWorker(Pass, J, Step, [&](Worker &W) {
     if (Isolated && W.Planned != Resources{})
       return;
@@ -241,7 +241,7 @@
   const int Priority = J.Spec->Priority;
   forEachAdvisedWorker(Pass, J, Step, [&](Worker &W) {
     const Resources Free = freeCapacityFor(Pass, W, J, Step);
-    const Resources Max = Free + W.Stoppable;
+    const Resources Max = Free + W.Preemptible;
     // Most workers are passed over by this bound alone, without a look at each run there.
     if (!fits(Need, Max) || (Best && Max.MilliCores <= BestRoom))
       return;
--- a/src/scheduler/scheduler_bench.cpp
+++ b/src/scheduler/scheduler_bench.cpp
@@ -21,7 +21,7 @@
     Effects Out;
     finishLoading(Cell, Now, Out);
     for (auto &[Id, W] : Cell.Workers) {
-      W.Saved = true;
+      W.IsRecorded = true;
       workerReported(Cell, Id, {}, Now, Now, Out);
     }
   }
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -11,24 +11,24 @@
 
 namespace {
 // A stop whose answer is lost is ordered again after this time; a few round trips.
-constexpr Milliseconds StopAgain{500};
+constexpr Milliseconds StopRetryDelay{500};
 // How often a start without an answer is sent before it is stopped instead.
-constexpr int MaxSends = 2;
+constexpr int MaxStartSends = 2;
 // A run that shows the same progress in two reports so far apart stands still: a sixth of its time,
 // in which a worker that is eight times slower still shows some.
-constexpr Milliseconds LeastStuckTime{2000};
-constexpr int StuckPart = 6;
+constexpr Milliseconds MinStallTime{2000};
+constexpr int StallEstimateDivisor = 6;
 // Without an estimate.
-constexpr Milliseconds UnknownStuckTime{10000};
+constexpr Milliseconds DefaultStallTime{10000};
 // The members of a gang that is done end within this time, or are stopped.
-constexpr Milliseconds GangEndTime{1500};
+constexpr Milliseconds GangEndTimeout{1500};
 // Runs that stand still are looked for this often; a fraction of the time above.
-constexpr Milliseconds StuckLookEvery{500};
+constexpr Milliseconds StallCheckInterval{500};
 // A run that fails within a tenth of its estimate failed at once. Those that fail by their own
 // fault do so somewhere in their work.
-constexpr int AtOncePart = 10;
+constexpr int EarlyFailureDivisor = 10;
 // A worker that is busy or can't be reached is left alone for this time.
-constexpr Milliseconds ShortPause{500};
+constexpr Milliseconds BusyBackoff{500};
 
 Worker *findWorker(CellState &Cell, const std::string &Id) {
   const auto Found = Cell.Workers.find(Id);
@@ -36,13 +36,13 @@
 }
 
 // Unheard workers keep the old tasks of their service back; with the last one heard they are free.
-void heard(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out) {
+void noteWorkerKnown(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out) {
   const auto Found = Cell.UnreportedWorkers.find(Id);
   if (Found == Cell.UnreportedWorkers.end())
     return;
   const std::string Service = std::move(Found->second);
   Cell.UnreportedWorkers.erase(Found);
-  if (isAwaited(Cell, Service))
+  if (hasUnreportedWorkers(Cell, Service))
     return;
   for (auto &[JobNumber, Of] : Cell.Jobs) {
     if (Of.Spec->Service != Service)
@@ -53,8 +53,8 @@
         const bool Partial =
             Step.Spec->Gang && Step.BookedTasks > 0 && Step.BookedTasks < Step.OpenTasks;
         for (uint32_t I = 0; Partial && I < Step.Tasks.size(); ++I)
-          if (Step.Tasks[I].At)
-            stopAttempt(Cell, *Step.Tasks[I].At, {{Step.Key, I}, Step.Tasks[I].Run},
+          if (Step.Tasks[I].AssignedWorker)
+            stopAttempt(Cell, *Step.Tasks[I].AssignedWorker, {{Step.Key, I}, Step.Tasks[I].Run},
                         "the gang is not whole", Now, Out);
         queueStep(Cell, Of, Step, Now);
       }
@@ -62,9 +62,9 @@
 }
 
 // Counts the attempt against what its organisation may have running.
-void charge(Attempt &What, OrganisationState *Owner, const Resources &Amount) {
-  What.Owner = Owner;
-  What.Charge = Amount;
+void chargeAttempt(Attempt &Entry, OrganisationState *Owner, const Resources &Amount) {
+  Entry.Owner = Owner;
+  Entry.Charge = Amount;
   if (Owner)
     Owner->Usage += Amount;
 }
@@ -75,26 +75,26 @@
   const bool Known = Step && Row.Run.Task.Index < Step->Tasks.size();
   if (!Known) {
     // Its job has ended, or was never ours. Its size is unknown until it is gone.
-    On.Full = true;
+    On.HasUnsizedRun = true;
     Cell.OrphanedRuns.insert(Row.Run);
     Attempt &Stray = On.Attempts[Row.Run];
     Stray.Phase = AttemptPhase::Running;
     Stray.StartedAt = Stray.PhaseSince = Now;
     // It may be as large as the worker.
     if (const auto Was = Cell.EndedJobs.find(Row.Run.Task.Step.Job); Was != Cell.EndedJobs.end())
-      charge(Stray, findOrAddOrganisation(Cell, Was->second.Organisation), On.Info.Capacity);
+      chargeAttempt(Stray, findOrAddOrganisation(Cell, Was->second.Organisation), On.Info.Capacity);
     stopAttempt(Cell, On, Row.Run, "its job has ended", Now, Out);
     return;
   }
   Job &Of = Cell.Jobs.at(Step->Key.Job);
   const TaskState &Task = Step->Tasks[Row.Run.Task.Index];
-  const bool Wanted = Of.Phase == JobPhase::Live && !Task.Done && !Task.At;
+  const bool Wanted = Of.Phase == JobPhase::Live && !Task.Done && !Task.AssignedWorker;
   if (Wanted) {
     Attempt &Taken =
         book(Cell, *Step, Row.Run.Task.Index, On, Row.Run.Run, AttemptPhase::Running, Of, Now);
     Taken.StartedAt = Taken.PercentChangedAt = Now;
-    settleInherited(Cell, Row.Run.Task, Out);
-    noteTrial(Cell, Row.Run.Task, On, Out);
+    retractInheritedStart(Cell, Row.Run.Task, Out);
+    notePendingStart(Cell, Row.Run.Task, On, Out);
     Of.Begun = true;
     if (Step->Spec->Gang)
       Step->GangRun = std::max(Step->GangRun, Row.Run.Run);
@@ -106,22 +106,22 @@
   Extra.Need = Step->Spec->Need;
   Extra.StartedAt = Extra.PhaseSince = Now;
   On.Booked += Extra.Need;
-  charge(Extra, Of.Owner, Step->Spec->Need);
+  chargeAttempt(Extra, Of.Owner, Step->Spec->Need);
   stopAttempt(Cell, On, Row.Run, "the task does not need it", Now, Out);
 }
 
-void noteProgress(CellState &Cell, Worker &On, const ActiveRun &Row, Attempt &What,
+void noteProgress(CellState &Cell, Worker &On, const ActiveRun &Row, Attempt &Entry,
                   const ReportTimes &When, Effects &Out) {
   const TimePoint Now = When.ReadAt;
-  if (What.Phase == AttemptPhase::Starting || What.Phase == AttemptPhase::Uncertain) {
+  if (Entry.Phase == AttemptPhase::Starting || Entry.Phase == AttemptPhase::Uncertain) {
     setPhase(Cell, On, Row.Run, AttemptPhase::Running, Now);
-    What.StartedAt = What.PercentChangedAt = Now;
+    Entry.StartedAt = Entry.PercentChangedAt = Now;
   }
-  if (What.Percent != Row.Percent) {
-    What.Percent = Row.Percent;
-    What.PercentChangedAt = Now;
+  if (Entry.Percent != Row.Percent) {
+    Entry.Percent = Row.Percent;
+    Entry.PercentChangedAt = Now;
   }
-  noteBeginning(Cell, On, Row.Run, What, When, Out);
+  noteRunListed(Cell, On, Row.Run, Entry, When, Out);
   StepState *Step = findStep(Cell, Row.Run.Task.Step);
   if (!Step || Row.Run.Task.Index >= Step->Tasks.size())
     return;
@@ -132,68 +132,68 @@
 
 // True if the run failed long before its work could be done, and its task had not failed before: a
 // task that fails everywhere says nothing of the worker.
-bool failedAtOnce(CellState &Cell, const Worker &On, const RunKey &Run, TimePoint Now) {
+bool failedEarly(CellState &Cell, const Worker &On, const RunKey &Run, TimePoint Now) {
   const auto Found = On.Attempts.find(Run);
   const StepState *Step = findStep(Cell, Run.Task.Step);
   if (Found == On.Attempts.end() || !Step || Run.Task.Index >= Step->Tasks.size())
     return false;
-  const Attempt &What = Found->second;
+  const Attempt &Entry = Found->second;
   const bool First = Step->Tasks[Run.Task.Index].FailedRuns.empty() && Step->GangFailures.empty();
-  return First && What.StartedAt != TimePoint{} &&
-         (Now - What.StartedAt) * AtOncePart < What.Estimate;
+  return First && Entry.StartedAt != TimePoint{} &&
+         (Now - Entry.StartedAt) * EarlyFailureDivisor < Entry.Estimate;
 }
 
 // A worker whose runs all fail is set aside for a while, so that tasks don't use up their
 // attempts on it; after one that failed at once, for a short one. Both belong to the rule that a
 // task does not go back to where it failed (hasJustFailedOn has the figure).
-void judge(CellState &Cell, Worker &On, const EndedRun &End, TimePoint Now) {
+void updateQuarantine(CellState &Cell, Worker &On, const EndedRun &End, TimePoint Now) {
   if (End.How == RunEnd::Done)
-    On.FailuresInARow = 0;
+    On.ConsecutiveFailures = 0;
   if (End.How != RunEnd::Failed)
     return;
-  if (failedAtOnce(Cell, On, End.Run, Now))
-    On.SetAsideUntil = std::max(On.SetAsideUntil, Now + Cell.Limits.FailureAvoidanceTime);
-  if (++On.FailuresInARow < Cell.Limits.MaxConsecutiveFailures)
+  if (failedEarly(Cell, On, End.Run, Now))
+    On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + Cell.Limits.FailureAvoidanceTime);
+  if (++On.ConsecutiveFailures < Cell.Limits.MaxConsecutiveFailures)
     return;
-  On.SetAsideUntil = Now + Cell.Limits.QuarantineTime;
-  On.FailuresInARow = Cell.Limits.MaxConsecutiveFailures - 1;
+  On.QuarantinedUntil = Now + Cell.Limits.QuarantineTime;
+  On.ConsecutiveFailures = Cell.Limits.MaxConsecutiveFailures - 1;
 }
 
-void readEnds(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint Now,
+void processEnds(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint Now,
               Effects &Out) {
   for (const EndedRun &End : Report.Ended) {
-    if (End.Number <= On.LastEnd)
+    if (End.Number <= On.LastEndNumber)
       continue;
-    On.LastEnd = End.Number;
-    judge(Cell, On, End, Now);
-    noteListedEnd(Cell, End, Out);
+    On.LastEndNumber = End.Number;
+    updateQuarantine(Cell, On, End, Now);
+    noteEndListed(Cell, End, Out);
     unbook(Cell, On, End.Run);
     runEnded(Cell, End.Run, End.How, End.Checkpoint, &On, Now, Out);
     const auto Of = Cell.Jobs.find(End.Run.Task.Step.Job);
     const uint64_t Save = Of == Cell.Jobs.end() ? 0 : Of->second.PendingSave;
-    if (Save == 0 && On.Unsaved.empty()) {
+    if (Save == 0 && On.UnsavedEnds.empty()) {
       On.ForgetThrough = End.Number;
     } else {
-      On.Unsaved.emplace_back(End.Number, Save);
+      On.UnsavedEnds.emplace_back(End.Number, Save);
       Cell.SlotsWithUnsavedEnds.insert(On.Slot);
     }
   }
 }
 
 // Runs that were stopped without ever having begun are in no list.
-void dropNeverBegun(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint AskedAt,
+void dropNeverStarted(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint AskedAt,
                     TimePoint Now, Effects &Out) {
   const auto IsActive = [&](const RunKey &Run) {
     return std::any_of(Report.Active.begin(), Report.Active.end(),
                        [&](const ActiveRun &Row) { return Row.Run == Run; });
   };
   std::vector<RunKey> Gone;
-  for (const auto &[Run, What] : On.Attempts)
-    if (What.Phase == AttemptPhase::Stopping && What.StopAcked && AskedAt >= What.StopAckedAt &&
+  for (const auto &[Run, Entry] : On.Attempts)
+    if (Entry.Phase == AttemptPhase::Stopping && Entry.StopAcked && AskedAt >= Entry.StopAckedAt &&
         !IsActive(Run))
       Gone.push_back(Run);
   for (const RunKey &Run : Gone) {
-    noteNotBegun(Cell, Run.Task, On, Out);
+    noteNeverStarted(Cell, Run.Task, On, Out);
     unbook(Cell, On, Run);
     runEnded(Cell, Run, RunEnd::Stopped, "", &On, Now, Out);
   }
@@ -203,21 +203,21 @@
 void stopGang(CellState &Cell, StepState &Step, uint32_t Run, const char *Why, TimePoint Now,
               Effects &Out) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-    if (Step.Tasks[I].At && Step.Tasks[I].Run == Run)
-      stopAttempt(Cell, *Step.Tasks[I].At, {{Step.Key, I}, Run}, Why, Now, Out);
+    if (Step.Tasks[I].AssignedWorker && Step.Tasks[I].Run == Run)
+      stopAttempt(Cell, *Step.Tasks[I].AssignedWorker, {{Step.Key, I}, Run}, Why, Now, Out);
 }
 
-void refused(CellState &Cell, Worker &On, const RunKey &Run, StartResult What, TimePoint Now,
+void startRefused(CellState &Cell, Worker &On, const RunKey &Run, StartResult Answer, TimePoint Now,
              Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (AdviceState::Permit *Used = Step ? findPermit(*Step, On) : nullptr;
-      Used && What == StartResult::RefusedTicket)
+      Used && Answer == StartResult::RefusedTicket)
     Used->ValidUntil = Now;
-  if (What == StartResult::RefusedBusy || What == StartResult::NotSent)
-    On.SetAsideUntil = std::max(On.SetAsideUntil, Now + ShortPause);
-  if (What == StartResult::RefusedRoom)
+  if (Answer == StartResult::RefusedBusy || Answer == StartResult::NotSent)
+    On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + BusyBackoff);
+  if (Answer == StartResult::RefusedRoom)
     Out.ReportRequests.push_back(On.Info.Id);
-  noteNotBegun(Cell, Run.Task, On, Out);
+  noteNeverStarted(Cell, Run.Task, On, Out);
   unbook(Cell, On, Run);
   if (!Step)
     return;
@@ -226,11 +226,11 @@
   queueStep(Cell, Cell.Jobs.at(Step->Key.Job), *Step, Now);
 }
 
-void sendAgain(CellState &Cell, Worker &On, const RunKey &Run, Attempt &What, Effects &Out) {
+void resendStart(CellState &Cell, Worker &On, const RunKey &Run, Attempt &Entry, Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
   const std::string &Checkpoint = Step->Tasks[Step->Spec->Gang ? 0 : Run.Task.Index].Checkpoint;
   const AdviceState::Permit *Used = findPermit(*Step, On);
-  ++What.Sends;
+  ++Entry.Sends;
   Out.Starts.push_back({On.Info.Id, Run, Cell.Jobs.at(Run.Task.Step.Job).Spec, Checkpoint,
                         Used ? Used->Ticket : std::string()});
 }
@@ -239,42 +239,42 @@
 Attempt &book(CellState &Cell, StepState &Step, uint32_t Index, Worker &On, uint32_t Run,
               AttemptPhase Phase, const Job &Of, TimePoint Now) {
   TaskState &Task = Step.Tasks[Index];
-  Task.At = &On;
+  Task.AssignedWorker = &On;
   Task.Run = Run;
   ++Step.BookedTasks;
   Attempt &Made = On.Attempts[{{Step.Key, Index}, Run}];
   Made.Need = Step.Spec->Need;
   if (Step.Spec->Fills)
     Made.Need.MilliCores = 0;
-  charge(Made, Of.Owner, Step.Spec->Need);
+  chargeAttempt(Made, Of.Owner, Step.Spec->Need);
   Made.Priority = Of.IsOverShare ? OverSharePriority : Of.Spec->Priority;
   Made.IsUrgent = Of.Spec->Priority == 0;
   Cell.UrgentAttempts += Made.IsUrgent ? 1 : 0;
   Made.Objective = Of.Objective;
   Made.Estimate = Step.Spec->Estimate;
-  Made.OnTrial = beginsApart(Step, Task);
-  On.Trials += Made.OnTrial ? 1 : 0;
+  Made.OnTrial = needsIsolatedStart(Step, Task);
+  On.IsolatedStarts += Made.OnTrial ? 1 : 0;
   Made.IsPreemptible = Step.Spec->Checkpoints && !Step.Spec->Gang && !Step.Spec->Lasting;
   Made.Phase = Phase;
   Made.PhaseSince = Now;
   const bool IsPlanned = Phase == AttemptPhase::Planned;
   (IsPlanned ? On.Planned : On.Booked) += Made.Need;
   if (Made.IsPreemptible)
-    On.Stoppable += Made.Need;
+    On.Preemptible += Made.Need;
   Step.PlannedTasks += IsPlanned ? 1 : 0;
   return Made;
 }
 
 void setPhase(CellState &Cell, Worker &On, const RunKey &Run, AttemptPhase Phase, TimePoint Now) {
-  Attempt &What = On.Attempts.at(Run);
-  if (What.Phase == AttemptPhase::Planned && Phase != AttemptPhase::Planned) {
-    On.Planned -= What.Need;
-    On.Booked += What.Need;
+  Attempt &Entry = On.Attempts.at(Run);
+  if (Entry.Phase == AttemptPhase::Planned && Phase != AttemptPhase::Planned) {
+    On.Planned -= Entry.Need;
+    On.Booked += Entry.Need;
     if (StepState *Step = findStep(Cell, Run.Task.Step))
       --Step->PlannedTasks;
   }
-  What.Phase = Phase;
-  What.PhaseSince = Now;
+  Entry.Phase = Phase;
+  Entry.PhaseSince = Now;
 }
 
 void unbook(CellState &Cell, Worker &On, const RunKey &Run) {
@@ -284,29 +284,29 @@
   const bool WasPlanned = Found->second.Phase == AttemptPhase::Planned;
   (WasPlanned ? On.Planned : On.Booked) -= Found->second.Need;
   if (Found->second.IsPreemptible)
-    On.Stoppable -= Found->second.Need;
+    On.Preemptible -= Found->second.Need;
   Cell.UrgentAttempts -= Found->second.IsUrgent ? 1 : 0;
-  On.Trials -= Found->second.OnTrial ? 1 : 0;
+  On.IsolatedStarts -= Found->second.OnTrial ? 1 : 0;
   if (Found->second.Owner)
     Found->second.Owner->Usage -= Found->second.Charge;
   On.Attempts.erase(Found);
   Cell.OrphanedRuns.erase(Run);
-  if (On.Full)
-    On.Full = std::any_of(On.Attempts.begin(), On.Attempts.end(),
+  if (On.HasUnsizedRun)
+    On.HasUnsizedRun = std::any_of(On.Attempts.begin(), On.Attempts.end(),
                           [](const auto &Entry) { return Entry.second.Need == Resources{}; });
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (!Step || Run.Task.Index >= Step->Tasks.size())
     return;
   Step->PlannedTasks -= WasPlanned ? 1 : 0;
   TaskState &Task = Step->Tasks[Run.Task.Index];
-  if (Task.At == &On && Task.Run == Run.Run) {
-    Task.At = nullptr;
+  if (Task.AssignedWorker == &On && Task.Run == Run.Run) {
+    Task.AssignedWorker = nullptr;
     --Step->BookedTasks;
   }
 }
 
 void dropPlanned(CellState &Cell, Worker &On, const RunKey &Run, Effects &Out) {
-  settleTrial(Cell, Run.Task, Out);
+  clearPendingStart(Cell, Run.Task, Out);
   unbook(Cell, On, Run);
 }
 
@@ -323,7 +323,7 @@
 }
 
 // The worker of that id, which may be new.
-static Worker &makeWorker(CellState &Cell, const std::string &Id) {
+static Worker &findOrAddWorker(CellState &Cell, const std::string &Id) {
   const auto [Place, New] = Cell.Workers.try_emplace(Id);
   if (New) {
     Place->second.Slot = static_cast<uint32_t>(Cell.Slots.size());
@@ -334,12 +334,12 @@
 
 void workerListed(CellState &Cell, const WorkerInfo &Info, TimePoint Now) {
   const bool New = !Cell.Workers.count(Info.Id);
-  Worker &On = makeWorker(Cell, Info.Id);
+  Worker &On = findOrAddWorker(Cell, Info.Id);
   On.Info = Info;
   On.Listed = true;
   On.LeavesAt = Now + Info.TimeLeft;
   On.SlowUntil = Now + Info.SlowFor;
-  On.Evacuated = Cell.Evacuated.Names.count(Info.Zone) > 0;
+  On.InEvacuatedZone = Cell.Evacuated.Names.count(Info.Zone) > 0;
   if (New)
     On.LeaseEnd = Now;
 }
@@ -353,10 +353,10 @@
 }
 
 void workerMayHoldRuns(CellState &Cell, const WorkerInfo &Info, TimePoint LeaseEnd) {
-  Worker &On = makeWorker(Cell, Info.Id);
+  Worker &On = findOrAddWorker(Cell, Info.Id);
   if (On.Info.Id.empty())
     On.Info = Info;
-  On.Saved = On.Wanted = true;
+  On.IsRecorded = On.IsSelected = true;
   On.LeaseEnd = std::max(On.LeaseEnd, LeaseEnd);
   Cell.UnreportedWorkers.emplace(Info.Id, On.Info.Service);
 }
@@ -366,10 +366,10 @@
   Worker *On = findWorker(Cell, Id);
   if (!On)
     return;
-  On->Answers = true;
-  On->ReportedAt = std::max(On->ReportedAt, AskedAt);
-  takeBackBlame(Cell, *On, AskedAt, Out);
-  readEnds(Cell, *On, Report, Now, Out);
+  On->IsResponsive = true;
+  On->ReportAskedAt = std::max(On->ReportAskedAt, AskedAt);
+  retractSuspicions(Cell, *On, AskedAt, Out);
+  processEnds(Cell, *On, Report, Now, Out);
   for (const ActiveRun &Row : Report.Active) {
     const auto Found = On->Attempts.find(Row.Run);
     if (Found == On->Attempts.end())
@@ -377,15 +377,15 @@
     else
       noteProgress(Cell, *On, Row, Found->second, {AskedAt, Now, Report.WorkerClock}, Out);
   }
-  dropNeverBegun(Cell, *On, Report, AskedAt, Now, Out);
-  On->Heard = true;
-  heard(Cell, Id, Now, Out);
+  dropNeverStarted(Cell, *On, Report, AskedAt, Now, Out);
+  On->HasReported = true;
+  noteWorkerKnown(Cell, Id, Now, Out);
 }
 
 void workerSilent(CellState &Cell, const std::string &Id) {
   if (Worker *On = findWorker(Cell, Id)) {
-    On->Answers = false;
-    On->FellSilent = true;
+    On->IsResponsive = false;
+    On->HasUncountedSilence = true;
   }
 }
 
@@ -394,52 +394,52 @@
     On->LeaseEnd = std::max(On->LeaseEnd, End);
 }
 
-void workerOver(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out, LifeEnd How) {
+void workerEnded(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out, WorkerEnd How) {
   Worker *On = findWorker(Cell, Id);
   if (!On)
     return;
   dropAttempts(Cell, *On, How, Now, Out);
   Cell.Slots[On->Slot] = nullptr;
   Cell.Workers.erase(Id);
-  heard(Cell, Id, Now, Out);
+  noteWorkerKnown(Cell, Id, Now, Out);
 }
 
-void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult What,
+void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult Answer,
                    TimePoint Now, Effects &Out) {
-  if (What == StartResult::RefusedFence)
+  if (Answer == StartResult::RefusedFence)
     Out.Deposed = true;
   Worker *On = findWorker(Cell, Id);
   if (!On)
     return;
   const auto Found = On->Attempts.find(Run);
-  if (What == StartResult::OtherLife) {
+  if (Answer == StartResult::OtherLife) {
     if (Found != On->Attempts.end() && Found->second.Phase == AttemptPhase::Starting)
-      refused(Cell, *On, Run, What, Now, Out);
-    return workerOver(Cell, Id, Now, Out);
+      startRefused(Cell, *On, Run, Answer, Now, Out);
+    return workerEnded(Cell, Id, Now, Out);
   }
-  On->Answers = What != StartResult::Unknown && What != StartResult::NotSent;
+  On->IsResponsive = Answer != StartResult::Unknown && Answer != StartResult::NotSent;
   if (Found == On->Attempts.end())
     return;
-  Attempt &Which = Found->second;
-  if (Which.Phase != AttemptPhase::Starting && Which.Phase != AttemptPhase::Uncertain)
+  Attempt &Entry = Found->second;
+  if (Entry.Phase != AttemptPhase::Starting && Entry.Phase != AttemptPhase::Uncertain)
     return;
-  if (What == StartResult::Started) {
+  if (Answer == StartResult::Started) {
     setPhase(Cell, *On, Run, AttemptPhase::Running, Now);
-    Which.StartedAt = Which.PercentChangedAt = Which.ConfirmedAt = Now;
+    Entry.StartedAt = Entry.PercentChangedAt = Entry.ConfirmedAt = Now;
     if (findStep(Cell, Run.Task.Step))
       Cell.Jobs.at(Run.Task.Step.Job).Begun = true;
     return;
   }
   // Not again to a worker that is to be left empty by now; what the first order did is found out by
   // a stop.
-  if (What == StartResult::Unknown && Which.Sends < MaxSends && takesWork(*On) &&
+  if (Answer == StartResult::Unknown && Entry.Sends < MaxStartSends && takesWork(*On) &&
       findStep(Cell, Run.Task.Step)) {
     setPhase(Cell, *On, Run, AttemptPhase::Uncertain, Now);
-    return sendAgain(Cell, *On, Run, Which, Out);
+    return resendStart(Cell, *On, Run, Entry, Out);
   }
   // After an order without an answer a refusal proves nothing about that order.
-  if (What != StartResult::Unknown && Which.Sends == 1)
-    return refused(Cell, *On, Run, What, Now, Out);
+  if (Answer != StartResult::Unknown && Entry.Sends == 1)
+    return startRefused(Cell, *On, Run, Answer, Now, Out);
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (Step && Step->Spec->Gang)
     return stopGang(Cell, *Step, Run.Run, "a member's start is uncertain", Now, Out);
@@ -451,45 +451,45 @@
   Worker *On = findWorker(Cell, Id);
   if (!On)
     return;
-  On->Answers = Acked;
+  On->IsResponsive = Acked;
   const auto Found = On->Attempts.find(Run);
   if (Found == On->Attempts.end() || !Acked)
     return;
-  Attempt &What = Found->second;
-  What.StopAcked = true;
-  What.StopAckedAt = Now;
-  if (What.StartedAt == TimePoint{})
+  Attempt &Entry = Found->second;
+  Entry.StopAcked = true;
+  Entry.StopAckedAt = Now;
+  if (Entry.StartedAt == TimePoint{})
     Out.ReportRequests.push_back(Id);
 }
 
 // Stops that have to be ordered again or whose end has to be looked for.
-static void tickStops(const CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
+static void retryStops(const CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
   bool Look = false;
-  for (auto &[Run, What] : On.Attempts) {
-    if (What.Phase != AttemptPhase::Stopping || Now - What.StopSent < StopAgain)
+  for (auto &[Run, Entry] : On.Attempts) {
+    if (Entry.Phase != AttemptPhase::Stopping || Now - Entry.StopSent < StopRetryDelay)
       continue;
-    if (What.StopAcked && Now - What.StopAckedAt < Cell.Limits.StopTime + StopAgain)
+    if (Entry.StopAcked && Now - Entry.StopAckedAt < Cell.Limits.StopTime + StopRetryDelay)
       continue;
-    What.StopSent = Now;
-    if (!What.StopAcked)
+    Entry.StopSent = Now;
+    if (!Entry.StopAcked)
       Out.Stops.push_back({On.Info.Id, Run, "the stop was not confirmed"});
-    Look = Look || What.StopAcked;
+    Look = Look || Entry.StopAcked;
   }
   if (Look)
     Out.ReportRequests.push_back(On.Info.Id);
 }
 
-static Milliseconds stuckTime(const StepSpec &Spec) {
+static Milliseconds stallTime(const StepSpec &Spec) {
   if (Spec.Estimate.count() == 0)
-    return UnknownStuckTime;
-  return std::max(LeastStuckTime, Spec.Estimate / StuckPart);
+    return DefaultStallTime;
+  return std::max(MinStallTime, Spec.Estimate / StallEstimateDivisor);
 }
 
 // Members of gangs that are done and have not ended with the others.
-static void tickLeftOver(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
+static void stopLeftoverGangMembers(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
   std::vector<RunKey> Left;
-  for (const auto &[Run, What] : On.Attempts)
-    if (What.EndExpectedSince != TimePoint{} && Now - What.EndExpectedSince > GangEndTime)
+  for (const auto &[Run, Entry] : On.Attempts)
+    if (Entry.EndExpectedSince != TimePoint{} && Now - Entry.EndExpectedSince > GangEndTimeout)
       Left.push_back(Run);
   for (const RunKey &Run : Left)
     stopAttempt(Cell, On, Run, "the others of its gang have ended", Now, Out);
@@ -497,60 +497,60 @@
 
 // True if the task makes no progress for the first time. One that stands still wherever it runs
 // says nothing of the workers; each would be set aside for four seconds in turn.
-static bool standsStillFirst(CellState &Cell, const RunKey &Run) {
+static bool noteFirstStall(CellState &Cell, const RunKey &Run) {
   TaskState &Task = findStep(Cell, Run.Task.Step)->Tasks[Run.Task.Index];
-  return !std::exchange(Task.HasStoodStill, true);
+  return !std::exchange(Task.HasStalled, true);
 }
 
 // Runs that make no progress are stopped and go on elsewhere.
-static void tickStuck(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
-  std::vector<RunKey> Stuck;
-  for (const auto &[Run, What] : On.Attempts) {
+static void stopStalledRuns(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
+  std::vector<RunKey> Stalled;
+  for (const auto &[Run, Entry] : On.Attempts) {
     const StepState *Step = findStep(Cell, Run.Task.Step);
-    const bool Watched = What.Phase == AttemptPhase::Running && Step && !Step->Spec->Lasting &&
-                         What.EndExpectedSince == TimePoint{};
-    if (Watched && What.Percent < 100 &&
-        On.ReportedAt - What.PercentChangedAt > stuckTime(*Step->Spec))
-      Stuck.push_back(Run);
+    const bool Watched = Entry.Phase == AttemptPhase::Running && Step && !Step->Spec->Lasting &&
+                         Entry.EndExpectedSince == TimePoint{};
+    if (Watched && Entry.Percent < 100 &&
+        On.ReportAskedAt - Entry.PercentChangedAt > stallTime(*Step->Spec))
+      Stalled.push_back(Run);
   }
-  for (const RunKey &Run : Stuck) {
+  for (const RunKey &Run : Stalled) {
     stopAttempt(Cell, On, Run, "it makes no progress", Now, Out);
-    if (standsStillFirst(Cell, Run))
-      On.SetAsideUntil = Now + Cell.Limits.QuarantineTime;
+    if (noteFirstStall(Cell, Run))
+      On.QuarantinedUntil = Now + Cell.Limits.QuarantineTime;
   }
 }
 
-bool isAwaited(const CellState &Cell, const std::string &Service) {
+bool hasUnreportedWorkers(const CellState &Cell, const std::string &Service) {
   return std::any_of(Cell.UnreportedWorkers.begin(), Cell.UnreportedWorkers.end(),
                      [&](const auto &Entry) { return Entry.second == Service; });
 }
 
 // A worker that has left and is known to hold nothing. Kept, its record would make the scheduler
 // after this one wait for its lease before it places anything that was accepted earlier (6.8 s).
-static bool mayBeLetGo(const Worker &On) {
-  return !On.Listed && On.Heard && On.Attempts.empty() && On.Unsaved.empty();
+static bool canBeForgotten(const Worker &On) {
+  return !On.Listed && On.HasReported && On.Attempts.empty() && On.UnsavedEnds.empty();
 }
 
 bool isIdle(const Worker &On) {
-  return On.Answers && On.Unsaved.empty() &&
+  return On.IsResponsive && On.UnsavedEnds.empty() &&
          std::all_of(On.Attempts.begin(), On.Attempts.end(),
                      [](const auto &Entry) { return Entry.second.Phase == AttemptPhase::Planned; });
 }
 
 // False for a service that the configuration doesn't name: the entry is another writer's, and its
 // address somebody else's.
-static bool hasWorkFor(const CellState &Cell, const WorkerInfo &Info) {
+static bool isConfiguredService(const CellState &Cell, const WorkerInfo &Info) {
   return Cell.Services.empty() || Cell.Services.count(Info.Service) > 0;
 }
 
 // A large fleet is not used as a whole: what is idle beyond some spare costs nothing.
-static void wantWorkers(CellState &Cell, Effects &Out) {
+static void selectWorkers(CellState &Cell, Effects &Out) {
   uint32_t Spare = 0;
   uint32_t Coming = 0; // wanted, and not ready yet
   for (const auto &[Id, On] : Cell.Workers) {
-    const bool Usable = On.Wanted && takesWork(On);
+    const bool Usable = On.IsSelected && takesWork(On);
     Spare += Usable && On.Attempts.empty() ? 1 : 0;
-    Coming += Usable && On.Answers && (!On.Heard || !On.Saved) ? 1 : 0;
+    Coming += Usable && On.IsResponsive && (!On.HasReported || !On.IsRecorded) ? 1 : 0;
   }
   uint32_t Missing = Spare < Cell.Limits.SpareWorkers ? Cell.Limits.SpareWorkers - Spare : 0;
   if (Cell.WorkerShortage && Coming < Cell.Limits.MaxNewWorkersPerTick)
@@ -559,9 +559,9 @@
   Missing = std::min(Missing, Cell.Limits.MaxNewWorkersPerTick);
   for (auto At = Cell.Workers.begin(); At != Cell.Workers.end() && Missing > 0; ++At) {
     Worker &On = At->second;
-    if (On.Wanted || !takesWork(On) || !hasWorkFor(Cell, On.Info))
+    if (On.IsSelected || !takesWork(On) || !isConfiguredService(Cell, On.Info))
       continue;
-    On.Wanted = Out.HasNewWorkers = true;
+    On.IsSelected = Out.HasNewWorkers = true;
     --Missing;
   }
 }
@@ -571,31 +571,31 @@
   Cell.WallAt = Now;
   if (!Cell.Loaded)
     return;
-  const bool LookForStuck = Now >= Cell.NextStallScan;
-  if (LookForStuck)
-    Cell.NextStallScan = Now + StuckLookEvery;
+  const bool CheckForStalls = Now >= Cell.NextStallScan;
+  if (CheckForStalls)
+    Cell.NextStallScan = Now + StallCheckInterval;
   std::vector<std::string> Over;
   for (auto &[Id, On] : Cell.Workers) {
-    blameBeginners(Cell, On, Now, Out);
-    const bool Lapsed = !On.Answers && Now > On.LeaseEnd;
-    if ((Lapsed && !On.Listed) || mayBeLetGo(On))
+    countSilence(Cell, On, Now, Out);
+    const bool Lapsed = !On.IsResponsive && Now > On.LeaseEnd;
+    if ((Lapsed && !On.Listed) || canBeForgotten(On))
       Over.push_back(Id);
     else if (Lapsed) {
-      holdBackWhatMayBeDone(Cell, On, Now);
-      dropAttempts(Cell, On, LifeEnd::Lapsed, Now, Out);
-      heard(Cell, Id, Now, Out);
-    } else if (On.Answers) {
-      tickStops(Cell, On, Now, Out);
-      if (LookForStuck) {
-        tickLeftOver(Cell, On, Now, Out);
-        tickStuck(Cell, On, Now, Out);
-        lookAtTrials(Cell, On, Now, Out);
+      delayPossiblyDoneTasks(Cell, On, Now);
+      dropAttempts(Cell, On, WorkerEnd::LeaseExpired, Now, Out);
+      noteWorkerKnown(Cell, Id, Now, Out);
+    } else if (On.IsResponsive) {
+      retryStops(Cell, On, Now, Out);
+      if (CheckForStalls) {
+        stopLeftoverGangMembers(Cell, On, Now, Out);
+        stopStalledRuns(Cell, On, Now, Out);
+        pollIsolatedStarts(Cell, On, Now, Out);
       }
     }
   }
   for (const std::string &Id : Over)
-    workerOver(Cell, Id, Now, Out, LifeEnd::Gone);
-  wantWorkers(Cell, Out);
+    workerEnded(Cell, Id, Now, Out, WorkerEnd::Unlisted);
+  selectWorkers(Cell, Out);
   tickJobs(Cell, Now);
 }
 
