--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -121,7 +121,7 @@
               return askThrough(std::move(Lane), Step, std::move(Workers), Timeout);
             },
             From.WorkerPrefix,
-            From.Operators.Evacuations,
+            From.Operators.EvacuationPrefix,
             From.DecodeWorker,
             Metrics,
             Burn,
--- a/src/cell/cell_view.cpp
+++ b/src/cell/cell_view.cpp
@@ -19,7 +19,7 @@
 // Between two readings of a picture that is doubted.
 constexpr Milliseconds DoubtPause{300};
 // Renewals in one life of a lease; two may be lost.
-constexpr int RenewalsPerLife = 3;
+constexpr int RenewalsPerTtl = 3;
 } // namespace
 
 CellView::CellView(Executor Where, KeyValueStore Store, const CellSettings &Settings,
@@ -31,21 +31,21 @@
   spawnLater(Where, memberLoop());
 }
 
-void CellView::take(const KeyValue &Item, bool Gone) {
+void CellView::take(const KeyValue &Item, bool IsRemoved) {
   if (Item.Key == LeaderKey) {
     Picture.Leader.reset();
-    Picture.LeaderRevision = Gone ? 0 : Item.Revision;
-    Result<Leader> Read = Gone ? Result<Leader>(Error{}) : decodeLeader(Item.Value);
+    Picture.LeaderRevision = IsRemoved ? 0 : Item.Revision;
+    Result<Leader> Read = IsRemoved ? Result<Leader>(Error{}) : decodeLeader(Item.Value);
     if (ok(Read))
       Picture.Leader = value(Read);
     return;
   }
   if (Item.Key == RosterKey)
-    takeRoster(Item, Gone);
+    takeRoster(Item, IsRemoved);
 }
 
-void CellView::takeRoster(const KeyValue &Item, bool Gone) {
-  Result<Roster> Read = Gone ? Result<Roster>(Roster{}) : decodeRoster(Item.Value);
+void CellView::takeRoster(const KeyValue &Item, bool IsRemoved) {
+  Result<Roster> Read = IsRemoved ? Result<Roster>(Roster{}) : decodeRoster(Item.Value);
   if (!ok(Read)) {
     logEvent(events::RecordUnreadable, {{"key", Item.Key}});
     return;
@@ -121,7 +121,7 @@
     }
     for (const KeyChange &Change : value(Read).Changes)
       if (Change.Item.Revision > Revision) // a reading may have overtaken the watch
-        take(Change.Item, Change.Gone);
+        take(Change.Item, Change.IsRemoved);
     Revision = std::max(Revision, value(Read).Revision);
     if (value(Read).Changes.empty())
       continue;
@@ -130,8 +130,8 @@
 }
 
 Awaitable<Result<Done>> CellView::enter() {
-  const Milliseconds Life = memberLease();
-  Result<uint64_t> Granted = co_await Store.GrantLease(Life);
+  const Milliseconds Ttl = memberLease();
+  Result<uint64_t> Granted = co_await Store.GrantLease(Ttl);
   if (!ok(Granted))
     co_return error(Granted);
   Transaction Put;
@@ -141,7 +141,7 @@
   if (!ok(Written))
     co_return error(Written);
   Lease = value(Granted);
-  LeaseLife = Life;
+  LeaseTtl = Ttl;
   co_return Done{};
 }
 
@@ -151,13 +151,13 @@
   while (!Stopped) {
     Result<Done> Kept = Done{};
     // A lease of another length is a new one; the old one lapses without its key.
-    if (Lease == 0 || memberLease() > LeaseLife + LeaseLife / 2)
+    if (Lease == 0 || memberLease() > LeaseTtl + LeaseTtl / 2)
       Kept = co_await enter();
     else
-      Kept = co_await Store.KeepLease(Lease);
+      Kept = co_await Store.RenewLease(Lease);
     if (ok(Kept)) {
       Pause = RetryPause;
-      co_await sleepFor(LeaseLife / RenewalsPerLife);
+      co_await sleepFor(LeaseTtl / RenewalsPerTtl);
       continue;
     }
     if (error(Kept).Kind == ErrorKind::NotFound)
@@ -172,7 +172,7 @@
 Awaitable<void> CellView::leave() {
   Stopped = true;
   if (Lease != 0)
-    co_await Store.EndLease(Lease);
+    co_await Store.RevokeLease(Lease);
 }
 
 } // namespace valveshelf
--- a/src/cell/cell_view.h
+++ b/src/cell/cell_view.h
@@ -49,8 +49,8 @@
   Awaitable<void> watchLoop();
   Awaitable<Result<Done>> readAll();
   Awaitable<void> readAgain();
-  void take(const KeyValue &Item, bool Gone);
-  void takeRoster(const KeyValue &Item, bool Gone);
+  void take(const KeyValue &Item, bool IsRemoved);
+  void takeRoster(const KeyValue &Item, bool IsRemoved);
   void joinMembers();
   Awaitable<void> memberLoop();
   Milliseconds memberLease() const;
@@ -64,7 +64,7 @@
   uint64_t Revision = 0; ///< The watch goes on from here; 0: everything has to be read.
   std::map<std::string, sched::Member> AllMembers; ///< While this process schedules.
   uint64_t Lease = 0;                              ///< Of this process's own key; 0: none.
-  Milliseconds LeaseLife{0};                       ///< That it was granted for.
+  Milliseconds LeaseTtl{0};                        ///< That it was granted for.
   bool Rereads = false;                            ///< The picture is being read again.
   bool Stopped = false;
 };
--- a/src/cell/config_watch.cpp
+++ b/src/cell/config_watch.cpp
@@ -49,16 +49,16 @@
 }
 
 void ConfigWatch::takeConfiguration(const KeyValue &Item) {
-  if (Item.Key == Keys.Configuration && Item.Revision != 0)
+  if (Item.Key == Keys.ConfigurationKey && Item.Revision != 0)
     takeBytes(Item.Value, "store");
 }
 
 void ConfigWatch::takeZone(const KeyChange &Change) {
-  if (!Change.Item.Key.starts_with(Keys.Evacuations) || Change.Item.Revision < Evacuated.AsOf)
+  if (!Change.Item.Key.starts_with(Keys.EvacuationPrefix) || Change.Item.Revision < Evacuated.AsOf)
     return;
   EvacuatedZones Now{Evacuated.Names, Change.Item.Revision};
-  const std::string Zone = Change.Item.Key.substr(Keys.Evacuations.size());
-  if (Change.Gone)
+  const std::string Zone = Change.Item.Key.substr(Keys.EvacuationPrefix.size());
+  if (Change.IsRemoved)
     Now.Names.erase(Zone);
   else
     Now.Names.insert(Zone);
@@ -203,8 +203,8 @@
   EvacuatedZones Zones{{}, value(Read).Revision};
   for (const KeyValue &Item : value(Read).Items) {
     takeConfiguration(Item);
-    if (Item.Key.starts_with(Keys.Evacuations))
-      Zones.Names.insert(Item.Key.substr(Keys.Evacuations.size()));
+    if (Item.Key.starts_with(Keys.EvacuationPrefix))
+      Zones.Names.insert(Item.Key.substr(Keys.EvacuationPrefix.size()));
   }
   takeZones(std::move(Zones));
   co_return value(Read).Revision;
@@ -237,7 +237,7 @@
     }
     Confirmed = Time.Now();
     for (const KeyChange &Change : value(Read).Changes) {
-      if (!Change.Gone)
+      if (!Change.IsRemoved)
         takeConfiguration(Change.Item);
       takeZone(Change);
     }
--- a/src/cell/intake.cpp
+++ b/src/cell/intake.cpp
@@ -95,11 +95,11 @@
     Announce(std::move(News));
   } else {
     // Jobs that stand there already were handed in before; the others are tried again.
-    std::map<std::string, KeyValue> Standing;
-    for (KeyValue &Item : value(Written).Standing)
-      Standing[Item.Key] = Item;
+    std::map<std::string, KeyValue> CurrentItems;
+    for (KeyValue &Item : value(Written).CurrentItems)
+      CurrentItems[Item.Key] = Item;
     for (const PendingPtr &Which : Batch) {
-      const KeyValue &There = Standing[jobKey(Which->Id)];
+      const KeyValue &There = CurrentItems[jobKey(Which->Id)];
       const uint64_t Revision = There.Revision;
       if (Revision == 0) {
         Waiting.push_back(Which);
--- a/src/cell/leadership.cpp
+++ b/src/cell/leadership.cpp
@@ -156,7 +156,7 @@
 Awaitable<void> Leadership::handOver(std::shared_ptr<SchedulerRunner> Current) {
   co_await Current->flush(FlushTime);
   Current->stop();
-  co_await Tools.Store.EndLease(CurrentLease);
+  co_await Tools.Store.RevokeLease(CurrentLease);
 }
 
 Milliseconds Leadership::turn() const {
@@ -239,7 +239,7 @@
     const auto &Seen = View.picture().Leader;
     if (Seen && Seen->Term > Mine.Term)
       break;
-    Result<Done> Kept = co_await Tools.Store.KeepLease(Mine.Lease);
+    Result<Done> Kept = co_await Tools.Store.RenewLease(Mine.Lease);
     if (!ok(Kept) && error(Kept).Kind == ErrorKind::NotFound)
       break;
     // A store that serves nobody is no reason to hand over just as it comes back.
--- a/src/cell/member_list.cpp
+++ b/src/cell/member_list.cpp
@@ -73,12 +73,12 @@
       continue;
     }
     for (const KeyChange &Change : value(Read).Changes)
-      Me->take(Change.Item, Change.Gone);
+      Me->take(Change.Item, Change.IsRemoved);
     Me->Revision = std::max(Me->Revision, value(Read).Revision);
     if (value(Read).Changes.empty())
       continue;
     Me->Around.Changed();
-    if (!mayHaveMore(value(Read)))
+    if (!mayBeTruncated(value(Read)))
       co_await sleepFor(Gather);
   }
 }
--- a/src/cell/scheduler_fleet.cpp
+++ b/src/cell/scheduler_fleet.cpp
@@ -18,10 +18,10 @@
 constexpr int MostEmptyWatches = 2;
 } // namespace
 
-void SchedulerRunner::takeWorker(const KeyValue &Item, bool Gone) {
+void SchedulerRunner::takeWorker(const KeyValue &Item, bool IsRemoved) {
   const TimePoint Now = Tools.Time.Now();
   const std::string Id = lastPart(Item.Key, Tools.WorkerPrefix);
-  if (Gone) {
+  if (IsRemoved) {
     workerUnlisted(Cell, Id, Now);
     return wakeHold(Id); // what it holds is asked at once: it may be gone
   }
@@ -71,9 +71,9 @@
                                         Milliseconds Wait) {
   for (const KeyChange &Change : Read.Changes)
     if (Change.Item.Revision > WorkersRevision)
-      takeWorker(Change.Item, Change.Gone);
+      takeWorker(Change.Item, Change.IsRemoved);
   WorkersRevision = std::max(WorkersRevision, Read.Revision);
-  if (!mayHaveMore(Read))
+  if (!mayBeTruncated(Read))
     noteListAnswer(WorkersAge, SentAt, Read.Changes.empty() ? Wait : Milliseconds(0));
   holdAll();
   placeSoon();
@@ -93,7 +93,7 @@
       Me->takeWorkerChanges(value(Read), SentAt, Wait);
       // Not while there is more. Each worker's check-in is a change: those of some thousands a
       // second outran one answer each pause, and leaving workers were heard of more and more late.
-      if (!value(Read).Changes.empty() && !mayHaveMore(value(Read)))
+      if (!value(Read).Changes.empty() && !mayBeTruncated(value(Read)))
         co_await sleepFor(WorkerGather);
     } else if (error(Read).Kind != ErrorKind::NotFound) {
       // The next watch goes on from where this one would have. To read a long list again just then
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -275,12 +275,12 @@
       co_return;
     if (ok(Read)) {
       for (const KeyChange &Change : value(Read).Changes)
-        if (!Change.Gone)
+        if (!Change.IsRemoved)
           Me->takeIntake(Change.Item, true);
       From = std::max(From, value(Read).Revision);
       Me->placeSoon();
       // Jobs are announced as well; news is gathered so that a busy hour costs few calls.
-      if (!value(Read).Changes.empty() && !mayHaveMore(value(Read)))
+      if (!value(Read).Changes.empty() && !mayBeTruncated(value(Read)))
         co_await sleepFor(IntakeGather);
       continue;
     }
--- a/src/cell/scheduler_runner.h
+++ b/src/cell/scheduler_runner.h
@@ -94,7 +94,7 @@
   static Awaitable<void> watchIntake(Self Me, uint64_t From);
   static Awaitable<void> watchWorkers(Self Me);
   void takeIntake(const KeyValue &Item, bool Fresh);
-  void takeWorker(const KeyValue &Item, bool Gone);
+  void takeWorker(const KeyValue &Item, bool IsRemoved);
   Awaitable<Result<uint64_t>> rereadIntake();
   Awaitable<Result<Done>> rereadWorkers();
   void takeWorkerChanges(const KeyChanges &Read, TimePoint SentAt, Milliseconds Wait);
@@ -118,7 +118,8 @@
   void wakeHold(const std::string &Id);
   void noteRecords(const std::vector<std::string> &Noted, uint64_t Revision);
   void dropRecords(const std::vector<std::string> &Removed);
-  void rereadRecords(const std::vector<std::string> &Asked, const std::vector<KeyValue> &Standing);
+  void rereadRecords(const std::vector<std::string> &Asked,
+                     const std::vector<KeyValue> &CurrentItems);
   static Awaitable<void> look(Self Me, std::string Id);
   void lookWhereAnswersMayBeLost();
   static Awaitable<void> sendStart(Self Me, sched::Effects::Start Order);
@@ -140,9 +141,9 @@
   bool addToTransaction(sched::JobId Id, Transaction &What, std::vector<SaveEntry> &Batch);
   void countEnd(const sched::Job &Of);
   void saved(const std::vector<SaveEntry> &Batch, uint64_t Revision);
-  void notSaved(const std::vector<SaveEntry> &Batch, const std::vector<KeyValue> &Standing);
+  void notSaved(const std::vector<SaveEntry> &Batch, const std::vector<KeyValue> &CurrentItems);
   Transaction guarded() const;
-  bool hasOtherLeader(const std::vector<KeyValue> &Standing) const;
+  bool hasOtherLeader(const std::vector<KeyValue> &CurrentItems) const;
 
   // Decisions.
   static Awaitable<void> tickLoop(Self Me);
--- a/src/cell/scheduler_runner_test.cpp
+++ b/src/cell/scheduler_runner_test.cpp
@@ -76,8 +76,8 @@
       co_return co_await Inner(std::move(What));
     };
     Ops.Range = [this, Inner = Ops.Range](std::string Prefix,
-                                          bool MayBeOld) -> Awaitable<Result<KeyRange>> {
-      Result<KeyRange> Read = co_await Inner(Prefix, MayBeOld);
+                                          bool AllowStale) -> Awaitable<Result<KeyRange>> {
+      Result<KeyRange> Read = co_await Inner(Prefix, AllowStale);
       co_await sleepFor(RangeTime);
       co_return Read;
     };
--- a/src/cell/scheduler_saves.cpp
+++ b/src/cell/scheduler_saves.cpp
@@ -107,9 +107,9 @@
 
 // An earlier write of ours may have come through late: take the revisions as they stand.
 void SchedulerRunner::notSaved(const std::vector<SaveEntry> &Batch,
-                               const std::vector<KeyValue> &Standing) {
+                               const std::vector<KeyValue> &CurrentItems) {
   std::map<std::string, uint64_t> Revisions;
-  for (const KeyValue &Item : Standing)
+  for (const KeyValue &Item : CurrentItems)
     Revisions[Item.Key] = Item.Revision;
   for (const SaveEntry &Entry : Batch) {
     SavingNow.erase({Entry.Id, Entry.Ends});
@@ -131,9 +131,9 @@
   if (ok(Answer) && value(Answer).Applied) {
     Me->saved(Written, value(Answer).Revision);
   } else if (ok(Answer)) {
-    if (Me->hasOtherLeader(value(Answer).Standing))
+    if (Me->hasOtherLeader(value(Answer).CurrentItems))
       co_return Me->end("the store has another scheduler");
-    Me->notSaved(Written, value(Answer).Standing);
+    Me->notSaved(Written, value(Answer).CurrentItems);
   } else {
     co_await sleepFor(RetryPause);
     for (const SaveEntry &Entry : Written)
@@ -167,8 +167,8 @@
 }
 
 // After a write whose conditions do not hold: the leader's key is another's, or gone.
-bool SchedulerRunner::hasOtherLeader(const std::vector<KeyValue> &Standing) const {
-  return std::none_of(Standing.begin(), Standing.end(), [&](const KeyValue &Item) {
+bool SchedulerRunner::hasOtherLeader(const std::vector<KeyValue> &CurrentItems) const {
+  return std::none_of(CurrentItems.begin(), CurrentItems.end(), [&](const KeyValue &Item) {
     return Item.Key == LeaderKey && Item.Revision == Mine.LeaderRevision;
   });
 }
@@ -189,9 +189,9 @@
 
 // An earlier removal or note was carried out though its answer was lost.
 void SchedulerRunner::rereadRecords(const std::vector<std::string> &Asked,
-                                    const std::vector<KeyValue> &Standing) {
+                                    const std::vector<KeyValue> &CurrentItems) {
   dropRecords(Asked);
-  for (const KeyValue &Item : Standing)
+  for (const KeyValue &Item : CurrentItems)
     for (const std::string &Id : Asked)
       if (Item.Key == workerKey(Id) && Item.Revision != 0)
         Records[Id] = Item.Revision;
@@ -238,10 +238,10 @@
       co_await sleepFor(RetryPause);
       continue;
     }
-    if (!value(Answer).Applied && Me->hasOtherLeader(value(Answer).Standing))
+    if (!value(Answer).Applied && Me->hasOtherLeader(value(Answer).CurrentItems))
       co_return Me->end("the store has another scheduler");
     if (!value(Answer).Applied) {
-      Me->rereadRecords(Left, value(Answer).Standing);
+      Me->rereadRecords(Left, value(Answer).CurrentItems);
       co_await sleepFor(RetryPause);
       continue;
     }
--- a/src/include/valveshelf/key_value_store.h
+++ b/src/include/valveshelf/key_value_store.h
@@ -27,9 +27,9 @@
 
 /// Where operators write what they ask for.
 struct OperatorKeys {
-  std::string Prefix;        ///< Of all of it.
-  std::string Configuration; ///< The key of the configuration.
-  std::string Evacuations;   ///< A key under it for each availability zone to be left empty.
+  std::string Prefix;           ///< Of all of it.
+  std::string ConfigurationKey; ///< The key of the configuration.
+  std::string EvacuationPrefix; ///< A key under it for each availability zone to be left empty.
 };
 
 /// What stood under a prefix. Pages of a large range are not one snapshot; a watch that goes on
@@ -42,7 +42,7 @@
 /// What changed under a prefix. A key that has gone comes with an empty value and Gone set.
 struct KeyChange {
   KeyValue Item;
-  bool Gone = false;
+  bool IsRemoved = false;
 };
 struct KeyChanges {
   std::vector<KeyChange> Changes;
@@ -51,10 +51,10 @@
 
 /// True if the answer may have been cut short: the store tells some hundreds of changes at a time,
 /// and what a busy prefix has more of comes with the next watch.
-inline bool mayHaveMore(const KeyChanges &Read) {
+inline bool mayBeTruncated(const KeyChanges &Read) {
   // Well below what one answer holds.
-  constexpr size_t Few = 100;
-  return Read.Changes.size() >= Few;
+  constexpr size_t TruncationThreshold = 100;
+  return Read.Changes.size() >= TruncationThreshold;
 }
 
 /// All of it or nothing. Rows of all three lists count towards `MaxTransactionRows`.
@@ -79,24 +79,24 @@
 
 struct TransactionResult {
   bool Applied = false;
-  uint64_t Revision = 0;          ///< Of the change, if it was applied.
-  std::vector<KeyValue> Standing; ///< The conditions' keys as they stand, if it was not.
+  uint64_t Revision = 0;              ///< Of the change, if it was applied.
+  std::vector<KeyValue> CurrentItems; ///< The conditions' keys as they stand, if it was not.
 };
 
 /// The store. Errors: StoreUnavailable (surely nothing was done), OutcomeUnknown (a write that may
 /// have been done or may still be), NotFound (no such lease; a watch whose history is gone).
 struct KeyValueStore {
   std::function<Awaitable<Result<KeyValue>>(std::string Key)> Get;
-  /// Reads all pages. \p MayBeOld: cheaper, and possibly seconds old.
-  std::function<Awaitable<Result<KeyRange>>(std::string Prefix, bool MayBeOld)> Range;
+  /// Reads all pages. \p AllowStale: cheaper, and possibly seconds old.
+  std::function<Awaitable<Result<KeyRange>>(std::string Prefix, bool AllowStale)> Range;
   /// Returns as soon as something changes after \p After, or with no changes after \p Wait.
   std::function<Awaitable<Result<KeyChanges>>(std::string Prefix, uint64_t After,
                                               Milliseconds Wait)>
       Watch;
   std::function<Awaitable<Result<TransactionResult>>(Transaction What)> Commit;
-  std::function<Awaitable<Result<uint64_t>>(Milliseconds Life)> GrantLease;
-  std::function<Awaitable<Result<Done>>(uint64_t Lease)> KeepLease;
-  std::function<Awaitable<Result<Done>>(uint64_t Lease)> EndLease;
+  std::function<Awaitable<Result<uint64_t>>(Milliseconds Ttl)> GrantLease;
+  std::function<Awaitable<Result<Done>>(uint64_t Lease)> RenewLease;
+  std::function<Awaitable<Result<Done>>(uint64_t Lease)> RevokeLease;
 };
 
 } // namespace valveshelf
--- a/src/include/valveshelf/platform.h
+++ b/src/include/valveshelf/platform.h
@@ -35,19 +35,19 @@
 /// StoreUnavailable (surely nothing happened) and OutcomeUnknown (the write may have been made).
 struct StoreOps {
   std::function<Awaitable<Result<StoreItem>>(std::string Key)> Get;
-  /// Writes if the key's version is \p Expect (0: the key must not exist). \p Lease 0 for none.
-  /// Returns the new version.
-  std::function<Awaitable<Result<uint64_t>>(std::string Key, std::string Value, uint64_t Expect,
-                                            uint64_t Lease)>
+  /// Writes if the key's version is \p ExpectedVersion (0: the key must not exist). \p Lease 0 for
+  /// none. Returns the new version.
+  std::function<Awaitable<Result<uint64_t>>(std::string Key, std::string Value,
+                                            uint64_t ExpectedVersion, uint64_t Lease)>
       Put;
-  std::function<Awaitable<Result<Done>>(std::string Key, uint64_t Expect)> Erase;
+  std::function<Awaitable<Result<Done>>(std::string Key, uint64_t ExpectedVersion)> Erase;
   std::function<Awaitable<Result<StoreItems>>(std::string Prefix)> List;
   /// Waits until something under \p Prefix changed after revision \p After, or for \p Wait.
   /// Erased keys come with version 0.
   std::function<Awaitable<Result<StoreItems>>(std::string Prefix, uint64_t After,
                                               Milliseconds Wait)>
       Watch;
-  std::function<Awaitable<Result<uint64_t>>(Milliseconds Life)> GrantLease;
+  std::function<Awaitable<Result<uint64_t>>(Milliseconds Ttl)> GrantLease;
   /// NotFound: the lease has lapsed.
   std::function<Awaitable<Result<Done>>(uint64_t Lease)> RenewLease;
   std::function<Awaitable<Result<Done>>(uint64_t Lease)> RevokeLease;
--- a/testsuite/fakes/fake_key_value_store.h
+++ b/testsuite/fakes/fake_key_value_store.h
@@ -104,14 +104,14 @@
       Leases.insert(++LastLease);
       co_return LastLease;
     };
-    Ops.KeepLease = [this](uint64_t Lease) -> Awaitable<Result<Done>> {
+    Ops.RenewLease = [this](uint64_t Lease) -> Awaitable<Result<Done>> {
       if (Down)
         co_return refusal();
       if (!Leases.count(Lease))
         co_return Error{ErrorKind::NotFound, "no such lease"};
       co_return Done{};
     };
-    Ops.EndLease = [this](uint64_t Lease) -> Awaitable<Result<Done>> {
+    Ops.RevokeLease = [this](uint64_t Lease) -> Awaitable<Result<Done>> {
       endLease(Lease);
       co_return Done{};
     };
@@ -131,7 +131,7 @@
       const auto Found = Items.find(Row.Key);
       Holds = Holds && (Found == Items.end() ? 0 : Found->second.Revision) == Row.Revision;
       if (Found != Items.end())
-        Answer.Standing.push_back(Found->second);
+        Answer.CurrentItems.push_back(Found->second);
     }
     if (!Holds)
       return Answer;
