--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -244,7 +244,7 @@
     Advice Read;
     Read.Valid = Milliseconds(Got.valid_ms());
     for (int I = 0; I < Got.good_size() && I < Got.ticket_size(); ++I)
-      Read.Good.emplace_back(Got.good(I), Got.ticket(I));
+      Read.Eligible.emplace_back(Got.good(I), Got.ticket(I));
     co_return Read;
   }
 
@@ -262,7 +262,7 @@
       co_return Reply;
     }
     Reply.set_valid_ms(value(Answer).Valid.count());
-    for (const auto &[Worker, Ticket] : value(Answer).Good) {
+    for (const auto &[Worker, Ticket] : value(Answer).Eligible) {
       Reply.add_good(Worker);
       Reply.add_ticket(Ticket);
     }
--- a/src/cell/scheduler_holds.cpp
+++ b/src/cell/scheduler_holds.cpp
@@ -74,11 +74,12 @@
   workerSilent(Cell, Id);
 }
 
-Awaitable<SchedulerRunner::HoldEnd> SchedulerRunner::holdOnce(std::string Id, Milliseconds Wait) {
+Awaitable<SchedulerRunner::HeartbeatOutcome> SchedulerRunner::holdOnce(std::string Id,
+                                                                       Milliseconds Wait) {
   auto Found = Cell.Workers.find(Id);
   if (Found == Cell.Workers.end())
-    co_return HoldEnd::Over;
-  HoldWorker Order;
+    co_return HeartbeatOutcome::Over;
+  HeartbeatRequest Order;
   Order.To = {Id, Found->second.Info.Address};
   Order.Fence = Mine.Term;
   Order.ForgetThrough = Found->second.ForgetThrough;
@@ -87,7 +88,7 @@
   // A worker that does not answer is only asked: an extension that may or may not arrive would put
   // off for ever the time at which its runs are surely over.
   if (Clocks.count(Id) && Found->second.Answers) {
-    Order.Until = workerTime(Id) + Tools.Settings.Timing.WorkerLease;
+    Order.LeaseUntil = workerTime(Id) + Tools.Settings.Timing.WorkerLease;
     workerLeased(Cell, Id, leaseEnd(clockAge(Id)));
   }
   const uint64_t Forgotten = Order.ForgetThrough;
@@ -95,14 +96,14 @@
   const bool IsHeld = Wait.count() > 0;
   if (IsHeld)
     HoldsOut[Id] = AskedAt;
-  Result<WorkerReport> Report = co_await Tools.Workers.Hold(std::move(Order));
+  Result<WorkerReport> Report = co_await Tools.Workers.Heartbeat(std::move(Order));
   if (IsHeld)
     HoldsOut.erase(Id);
   if (Stopped)
-    co_return HoldEnd::Over;
+    co_return HeartbeatOutcome::Over;
   Found = Cell.Workers.find(Id); // it may have been let go of meanwhile
   if (Found == Cell.Workers.end())
-    co_return HoldEnd::Over;
+    co_return HeartbeatOutcome::Over;
   const TimePoint Now = Tools.Time.Now();
   Effects Out;
   if (ok(Report)) {
@@ -125,8 +126,8 @@
   apply(Out);
   placeSoon();
   if (Stopped || !Cell.Workers.count(Id))
-    co_return HoldEnd::Over;
-  co_return ok(Report) ? HoldEnd::Answered : HoldEnd::NoAnswer;
+    co_return HeartbeatOutcome::Over;
+  co_return ok(Report) ? HeartbeatOutcome::Answered : HeartbeatOutcome::NoAnswer;
 }
 
 // Waits until the worker's ends are saved or something is started there, or for \p Most.
@@ -157,7 +158,7 @@
 }
 
 Awaitable<void> SchedulerRunner::holdLoop(Self Me, std::string Id) {
-  HoldEnd Last = HoldEnd::Answered;
+  HeartbeatOutcome Last = HeartbeatOutcome::Answered;
   while (!Me->Stopped) {
     auto Found = Me->Cell.Workers.find(Id);
     if (Found != Me->Cell.Workers.end() && !Found->second.Unsaved.empty()) {
@@ -175,11 +176,11 @@
     const bool First = Clock == Me->Clocks.end();
     if (!First && !isIdle(Found->second))
       Clock->second.BusyAt = Me->Tools.Time.Now();
-    const bool Waits = !First && Last == HoldEnd::Answered && Found->second.Unsaved.empty() &&
-                       !Me->restsAt(Found->second);
+    const bool Waits = !First && Last == HeartbeatOutcome::Answered &&
+                       Found->second.Unsaved.empty() && !Me->restsAt(Found->second);
     const Milliseconds Wait = Waits ? Me->Tools.Settings.Timing.HoldWait : Milliseconds(0);
     Last = co_await Me->holdOnce(Id, Wait);
-    if (Last == HoldEnd::Over)
+    if (Last == HeartbeatOutcome::Over)
       break;
     const Worker &After = Me->Cell.Workers.at(Id);
     if (!After.Answers) {
@@ -223,7 +224,7 @@
   Start.To = {Order.Worker, Found->second.Info.Address};
   Start.Run = Order.Run;
   Start.Job = Order.Job;
-  Start.Until = Me->workerTime(Order.Worker) + Me->Tools.Settings.Timing.WorkerLease;
+  Start.LeaseUntil = Me->workerTime(Order.Worker) + Me->Tools.Settings.Timing.WorkerLease;
   Start.Fence = Me->Mine.Term;
   Start.Checkpoint = std::move(Order.Checkpoint);
   Start.Ticket = std::move(Order.Ticket);
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -41,11 +41,11 @@
                   {{"step", toString(Question.Step)},
                    {"through", Lane},
                    {"asked", std::to_string(Question.Workers.size())},
-                   {"good", ok(Answer) ? std::to_string(value(Answer).Good.size())
+                   {"good", ok(Answer) ? std::to_string(value(Answer).Eligible.size())
                                        : "\"" + error(Answer).Detail + "\""},
                    {"ms", std::to_string(std::chrono::duration_cast<Milliseconds>(Took).count())}});
               if (ok(Answer))
-                adviceAnswered(Cell, Question.Step, Question.Workers, value(Answer).Good,
+                adviceAnswered(Cell, Question.Step, Question.Workers, value(Answer).Eligible,
                                value(Answer).Valid, this->Tools.Time.Now());
               else
                 adviceFailed(Cell, Question.Step, this->Tools.Time.Now());
--- a/src/cell/scheduler_runner.h
+++ b/src/cell/scheduler_runner.h
@@ -105,12 +105,12 @@
   // Workers.
   void holdAll();
   static Awaitable<void> holdLoop(Self Me, std::string Id);
-  enum class HoldEnd {
+  enum class HeartbeatOutcome {
     Answered,
     NoAnswer,
     Over, ///< The worker is gone or this term is over.
   };
-  Awaitable<HoldEnd> holdOnce(std::string Id, Milliseconds Wait);
+  Awaitable<HeartbeatOutcome> holdOnce(std::string Id, Milliseconds Wait);
   void holdFailed(const std::string &Id, const Error &Why, bool IsHeld);
   static Awaitable<void> untilWoken(Self Me, std::string Id, Milliseconds Most);
   Milliseconds unsavedPause() const;
--- a/src/cell/scheduler_runner_test.cpp
+++ b/src/cell/scheduler_runner_test.cpp
@@ -109,11 +109,11 @@
       co_return StartResult::Started;
     };
     Link.Stop = [](StopRun) -> Awaitable<Result<Done>> { co_return Done{}; };
-    Link.Hold = [this](HoldWorker Order) { return hold(std::move(Order)); };
+    Link.Heartbeat = [this](HeartbeatRequest Order) { return heartbeat(std::move(Order)); };
     return Link;
   }
 
-  Awaitable<Result<WorkerReport>> hold(HoldWorker Order) {
+  Awaitable<Result<WorkerReport>> heartbeat(HeartbeatRequest Order) {
     FakeWorker &To = Workers.at(Order.To.Id);
     if (To.IsGone)
       co_return Error{ErrorKind::NotFound, "another life"};
--- a/src/include/valveshelf/worker_link.h
+++ b/src/include/valveshelf/worker_link.h
@@ -25,7 +25,7 @@
   WorkerAddress To;
   sched::RunKey Run;
   sched::JobSpecPtr Job;
-  Milliseconds Until{0}; ///< The lease of the whole worker, on its own clock.
+  Milliseconds LeaseUntil{0}; ///< The lease of the whole worker, on its own clock.
   uint64_t Fence = 0;
   std::string Checkpoint;
   std::string Ticket;
@@ -41,27 +41,27 @@
 };
 
 /// Extends the worker's lease, lets ends be forgotten and asks what it holds.
-struct HoldWorker {
+struct HeartbeatRequest {
   WorkerAddress To;
   uint64_t Fence = 0;
   uint64_t ForgetThrough = 0;
-  std::optional<Milliseconds> Until;
+  std::optional<Milliseconds> LeaseUntil;
   Milliseconds Wait{0};
   Milliseconds Timeout{0}; ///< Beyond the wait.
 };
 
-/// Errors of `Stop` and `Hold`: NotOwner (a newer scheduler has spoken to the worker), NotFound
-/// (another life answered), UpstreamUnavailable (surely not sent), UpstreamCut (may have been
-/// carried out, or may be later).
+/// Errors of `Stop` and `Heartbeat`: NotOwner (a newer scheduler has spoken to the worker),
+/// NotFound (another life answered), UpstreamUnavailable (surely not sent), UpstreamCut (may have
+/// been carried out, or may be later).
 struct WorkerLink {
   std::function<Awaitable<sched::StartResult>(StartRun)> Start;
   std::function<Awaitable<Result<Done>>(StopRun)> Stop;
-  std::function<Awaitable<Result<sched::WorkerReport>>(HoldWorker)> Hold;
+  std::function<Awaitable<Result<sched::WorkerReport>>(HeartbeatRequest)> Heartbeat;
 };
 
 /// Workers that may run a step, each with its ticket.
 struct Advice {
-  std::vector<std::pair<std::string, std::string>> Good; ///< Worker and ticket.
+  std::vector<std::pair<std::string, std::string>> Eligible; ///< Worker and ticket.
   Milliseconds Valid{0};
 };
 
