--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -110,7 +110,7 @@
     Finished(0);
   }
 
-  SchedulerTools schedulerTools() {
+  SchedulerDependencies schedulerTools() {
     return {Where,
             Time,
             Settings,
--- a/src/cell/leadership.cpp
+++ b/src/cell/leadership.cpp
@@ -32,7 +32,7 @@
 constexpr Milliseconds HandOverEvery{10000};
 } // namespace
 
-Leadership::Leadership(const SchedulerTools &Tools, CellView &View, LeadershipLinks Links)
+Leadership::Leadership(const SchedulerDependencies &Tools, CellView &View, LeadershipLinks Links)
     : Tools(Tools), View(View), Links(std::move(Links)) {}
 
 void Leadership::start() { spawnLater(Tools.Where, loop()); }
@@ -70,7 +70,7 @@
 void Leadership::zonesChanged(EvacuatedZones Now) {
   Evacuated = std::move(Now);
   if (Runner)
-    Runner->setEvacuated(Evacuated);
+    Runner->setEvacuatedZones(Evacuated);
 }
 
 bool Leadership::mayClaim() const {
@@ -220,7 +220,7 @@
   Runner->setMembers(memberNames());
   if (Config)
     Runner->setConfiguration(*Config);
-  Runner->setEvacuated(Evacuated);
+  Runner->setEvacuatedZones(Evacuated);
   Runner->start();
   MemberList::Links Around;
   Around.Changed = [this] {
--- a/src/cell/leadership.h
+++ b/src/cell/leadership.h
@@ -28,7 +28,7 @@
 /// strand.
 class Leadership {
 public:
-  Leadership(const SchedulerTools &Tools, CellView &View, LeadershipLinks Links);
+  Leadership(const SchedulerDependencies &Tools, CellView &View, LeadershipLinks Links);
   void start();
   /// The picture of the cell has changed.
   void viewChanged();
@@ -59,7 +59,7 @@
   Awaitable<bool> someoneIsBetter(TimePoint Begun);
   Awaitable<void> handOver(std::shared_ptr<SchedulerRunner> Current);
 
-  const SchedulerTools Tools;
+  const SchedulerDependencies Tools;
   CellView &View;
   const LeadershipLinks Links;
   TimePoint LastHandOver{};
--- a/src/cell/leadership_test.cpp
+++ b/src/cell/leadership_test.cpp
@@ -35,7 +35,7 @@
     Settings.Timing.LeaderLease = 400ms;
     View = std::make_unique<CellView>(Io.get_executor(), Store.ops(), Settings,
                                       [this] { Lead->viewChanged(); });
-    SchedulerTools Tools{
+    SchedulerDependencies Tools{
         Io.get_executor(),
         Clock{},
         Settings,
--- a/src/cell/list_age.cpp
+++ b/src/cell/list_age.cpp
@@ -24,8 +24,8 @@
   return true;
 }
 
-bool isListBehind(const ListAge &Age, bool StoreAnswers, TimePoint Now) {
-  return StoreAnswers && Now - Age.AsOf > LongestAge;
+bool isListBehind(const ListAge &Age, bool IsStoreResponsive, TimePoint Now) {
+  return IsStoreResponsive && Now - Age.AsOf > LongestAge;
 }
 
 } // namespace valveshelf
--- a/src/cell/list_age.h
+++ b/src/cell/list_age.h
@@ -23,7 +23,7 @@
 /// than it is ever held. Asked again after a pause, since that answer may be lost as well.
 bool wantsListLook(ListAge &Age, Milliseconds WatchTime, TimePoint Now);
 /// True from when the list is so old that nothing may be started by it. Where the store answers
-/// nobody, what is known goes on to hold: \p StoreAnswers says that it does answer.
-bool isListBehind(const ListAge &Age, bool StoreAnswers, TimePoint Now);
+/// nobody, what is known goes on to hold: \p IsStoreResponsive says that it does answer.
+bool isListBehind(const ListAge &Age, bool IsStoreResponsive, TimePoint Now);
 
 } // namespace valveshelf
--- /dev/null
+++ b/src/cell/scheduler_heartbeats.cpp
@@ -0,0 +1,283 @@
+// SPDX-License-Identifier: Apache-2.0
+// What a scheduler says to workers: calls that they hold and answer with what they hold, looks,
+// orders to start and to stop.
+#include "cell/scheduler_runner.h"
+
+#include "valveshelf/events.h"
+
+#include <boost/asio.hpp>
+
+#include <algorithm>
+
+namespace valveshelf {
+namespace asio = boost::asio;
+using namespace sched;
+
+namespace {
+constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
+// A worker whose ends wait to be saved answers at once, so it is asked again after a pause, by
+// which a further end is seen late. It grows with the workers that wait, which bounds the looks a
+// second.
+constexpr Milliseconds MinUnsavedDelay{120};
+constexpr Milliseconds MaxUnsavedDelay{400};
+constexpr std::chrono::microseconds UnsavedDelayPerWorker{2500};
+// While calls get lost, a worker whose answer is held is looked at this often. Without it the ends
+// on a worker whose held call was lost are seen only when that call is given up.
+constexpr Milliseconds RecheckInterval{300};
+// Such looks in one tick; keeps a small box with hundreds of workers from being busy with them.
+constexpr size_t MaxRechecksPerTick = 20;
+} // namespace
+
+// By then a lease that is given to a worker now is over. What its clock and ours may have drifted
+// apart, during the lease and since the clock was read, counts.
+TimePoint SchedulerRunner::leaseEnd(Steady::duration ClockAge) const {
+  const std::chrono::duration<double, std::milli> Lease = Deps.Settings.Timing.WorkerLease;
+  const auto Drift = (Lease + ClockAge) * (2 * Cell.Limits.ClockDrift);
+  return Deps.Time.Now() + std::chrono::duration_cast<Steady::duration>(Lease + Drift) +
+         Cell.Limits.LeaseMargin;
+}
+
+Steady::duration SchedulerRunner::clockAge(const std::string &Id) const {
+  const auto Found = HeartbeatStates.find(Id);
+  return Found == HeartbeatStates.end() ? Steady::duration(0)
+                                        : Deps.Time.Now() - Found->second.ReadAt;
+}
+
+Milliseconds SchedulerRunner::workerTime(const std::string &Id) const {
+  const auto Found = HeartbeatStates.find(Id);
+  if (Found == HeartbeatStates.end())
+    return Milliseconds(0);
+  const auto Since = Deps.Time.Now() - Found->second.ReadAt;
+  return Found->second.WorkerClock + std::chrono::duration_cast<Milliseconds>(Since);
+}
+
+void SchedulerRunner::startHeartbeats() {
+  for (const auto &[Id, On] : Cell.Workers) {
+    if (!On.Wanted)
+      continue;
+    if (HeartbeatLoops.insert(Id).second)
+      spawnLater(Deps.Where, heartbeatLoop(shared_from_this(), Id));
+    else if (!On.Heard)
+      wakeHeartbeatLoop(Id); // it was let go of and has come back; its loop may still rest
+  }
+}
+
+// A held call that was lost says little of the worker, which is then asked again at once; it counts
+// as silent when a call that was to be answered at once gets no answer.
+void SchedulerRunner::heartbeatFailed(const std::string &Id, const Error &Why, bool IsLongPoll) {
+  const bool Answered = Cell.Workers.at(Id).Answers;
+  if (Answered)
+    noteLoss(Losses, Id, Deps.Time.Now());
+  if (IsLongPoll)
+    return;
+  if (Answered)
+    logEvent(events::WorkerSilent, {{"worker", Id}, {"why", "\"" + Why.Detail + "\""}});
+  workerSilent(Cell, Id);
+}
+
+Awaitable<SchedulerRunner::HeartbeatOutcome> SchedulerRunner::sendHeartbeat(std::string Id,
+                                                                            Milliseconds Wait) {
+  auto Found = Cell.Workers.find(Id);
+  if (Found == Cell.Workers.end())
+    co_return HeartbeatOutcome::Ended;
+  HeartbeatRequest Order;
+  Order.To = {Id, Found->second.Info.Address};
+  Order.Fence = OwnClaim.Term;
+  Order.ForgetThrough = Found->second.ForgetThrough;
+  Order.Wait = Wait;
+  Order.Timeout = Deps.Settings.Timing.HoldTimeout;
+  // A worker that does not answer is only asked: an extension that may or may not arrive would put
+  // off for ever the time at which its runs are surely over.
+  if (HeartbeatStates.count(Id) && Found->second.Answers) {
+    Order.LeaseUntil = workerTime(Id) + Deps.Settings.Timing.WorkerLease;
+    workerLeased(Cell, Id, leaseEnd(clockAge(Id)));
+  }
+  const uint64_t Forgotten = Order.ForgetThrough;
+  const TimePoint AskedAt = Deps.Time.Now();
+  const bool IsLongPoll = Wait.count() > 0;
+  if (IsLongPoll)
+    LongPolls[Id] = AskedAt;
+  Result<WorkerReport> Report = co_await Deps.Workers.Heartbeat(std::move(Order));
+  if (IsLongPoll)
+    LongPolls.erase(Id);
+  if (Stopped)
+    co_return HeartbeatOutcome::Ended;
+  Found = Cell.Workers.find(Id); // it may have been let go of meanwhile
+  if (Found == Cell.Workers.end())
+    co_return HeartbeatOutcome::Ended;
+  const TimePoint Now = Deps.Time.Now();
+  Effects Out;
+  if (ok(Report)) {
+    HeartbeatState &Clock = HeartbeatStates[Id];
+    // Answers on two connections may overtake each other; an older one says nothing new.
+    if (value(Report).WorkerClock >= Clock.WorkerClock) {
+      Clock.WorkerClock = value(Report).WorkerClock;
+      Clock.ReadAt = Now;
+      workerReported(Cell, Id, value(Report), AskedAt, Now, Out);
+      Clock.ForgottenThrough = std::max(Clock.ForgottenThrough, Forgotten);
+    }
+  } else if (error(Report).Kind == ErrorKind::NotOwner) {
+    Out.Deposed = true;
+  } else if (error(Report).Kind == ErrorKind::NotFound) {
+    logEvent(events::WorkerReplaced, {{"worker", Id}});
+    workerOver(Cell, Id, Now, Out);
+  } else {
+    heartbeatFailed(Id, error(Report), IsLongPoll);
+  }
+  executeEffects(Out);
+  schedulePlacement();
+  if (Stopped || !Cell.Workers.count(Id))
+    co_return HeartbeatOutcome::Ended;
+  co_return ok(Report) ? HeartbeatOutcome::Answered : HeartbeatOutcome::NoAnswer;
+}
+
+// Waits until the worker's ends are saved or something is started there, or for \p Most.
+Awaitable<void> SchedulerRunner::waitForWake(SelfPtr Self, std::string Id, Milliseconds Most) {
+  SteadyTimer Wake(Self->Deps.Where, Most);
+  Self->WakeTimers[Id] = &Wake;
+  co_await Wake.async_wait(AsTuple);
+  Self->WakeTimers.erase(Id);
+}
+
+Milliseconds SchedulerRunner::unsavedHeartbeatDelay() const {
+  const auto Wanted = UnsavedDelayPerWorker * Cell.WithUnsaved.size();
+  return std::clamp(std::chrono::duration_cast<Milliseconds>(Wanted), MinUnsavedDelay,
+                    MaxUnsavedDelay);
+}
+
+void SchedulerRunner::wakeHeartbeatLoop(const std::string &Id) {
+  if (const auto Found = WakeTimers.find(Id); Found != WakeTimers.end())
+    Found->second->cancel();
+}
+
+// True if nothing is to be told to or heard from the worker before something is started there.
+bool SchedulerRunner::canSuspendHeartbeats(const Worker &On) const {
+  const auto Known = HeartbeatStates.find(On.Info.Id);
+  return Known != HeartbeatStates.end() && On.Heard && isIdle(On) &&
+         Known->second.ForgottenThrough >= On.LastEnd &&
+         Deps.Time.Now() - Known->second.LastBusyAt > Deps.Settings.Timing.HoldWait;
+}
+
+Awaitable<void> SchedulerRunner::heartbeatLoop(SelfPtr Self, std::string Id) {
+  HeartbeatOutcome Last = HeartbeatOutcome::Answered;
+  while (!Self->Stopped) {
+    auto Found = Self->Cell.Workers.find(Id);
+    if (Found != Self->Cell.Workers.end() && !Found->second.Unsaved.empty()) {
+      // Asked for again when those known are saved; without the store, now and then.
+      co_await waitForWake(Self, Id, Self->unsavedHeartbeatDelay());
+      Found = Self->Cell.Workers.find(Id);
+    }
+    if (Found != Self->Cell.Workers.end() && Self->canSuspendHeartbeats(Found->second)) {
+      co_await waitForWake(Self, Id, IdleHeartbeatInterval);
+      Found = Self->Cell.Workers.find(Id);
+    }
+    if (Found == Self->Cell.Workers.end() || Self->Stopped)
+      break;
+    const auto Clock = Self->HeartbeatStates.find(Id);
+    const bool First = Clock == Self->HeartbeatStates.end();
+    if (!First && !isIdle(Found->second))
+      Clock->second.LastBusyAt = Self->Deps.Time.Now();
+    const bool Waits = !First && Last == HeartbeatOutcome::Answered &&
+                       Found->second.Unsaved.empty() && !Self->canSuspendHeartbeats(Found->second);
+    const Milliseconds Wait = Waits ? Self->Deps.Settings.Timing.HoldWait : Milliseconds(0);
+    Last = co_await Self->sendHeartbeat(Id, Wait);
+    if (Last == HeartbeatOutcome::Ended)
+      break;
+    const Worker &After = Self->Cell.Workers.at(Id);
+    if (!After.Answers) {
+      if (!After.Listed && After.Attempts.empty() && Self->Deps.Time.Now() > After.LeaseEnd)
+        break;
+      co_await sleepFor(RetryPause);
+    }
+  }
+  Self->HeartbeatLoops.erase(Id);
+  Self->HeartbeatStates.erase(Id);
+}
+
+Awaitable<void> SchedulerRunner::sendHeartbeatNow(SelfPtr Self, std::string Id) {
+  if (!Self->Stopped)
+    co_await Self->sendHeartbeat(Id, Milliseconds(0));
+}
+
+// Rechecks at workers with runs whose held call may have been lost.
+void SchedulerRunner::recheckBusyWorkers() {
+  const TimePoint Now = Deps.Time.Now();
+  if (!callsGetLost(Losses, Now))
+    return;
+  size_t Rechecks = 0;
+  for (auto &[Id, Since] : LongPolls) {
+    const auto Found = Cell.Workers.find(Id);
+    const bool Works = Found != Cell.Workers.end() && !Found->second.Attempts.empty();
+    if (!Works || Now - Since < RecheckInterval)
+      continue;
+    Since = Now;
+    spawnLater(Deps.Where, sendHeartbeatNow(shared_from_this(), Id));
+    if (++Rechecks == MaxRechecksPerTick)
+      return;
+  }
+}
+
+Awaitable<void> SchedulerRunner::sendStart(SelfPtr Self, Effects::Start Order) {
+  const auto Found = Self->Cell.Workers.find(Order.Worker);
+  if (Found == Self->Cell.Workers.end() || Self->Stopped || Self->wasSuspended())
+    co_return;
+  StartRun Start;
+  Start.To = {Order.Worker, Found->second.Info.Address};
+  Start.Run = Order.Run;
+  Start.Job = Order.Job;
+  Start.LeaseUntil = Self->workerTime(Order.Worker) + Self->Deps.Settings.Timing.WorkerLease;
+  Start.Fence = Self->OwnClaim.Term;
+  Start.Checkpoint = std::move(Order.Checkpoint);
+  Start.Ticket = std::move(Order.Ticket);
+  Start.Timeout = Self->Pace.Timeout;
+  workerLeased(Self->Cell, Order.Worker, Self->leaseEnd(Self->clockAge(Order.Worker)));
+  Self->wakeHeartbeatLoop(Order.Worker);
+  const TimePoint SentAt = Self->Deps.Time.Now();
+  const StartResult What = co_await Self->Deps.Workers.Start(std::move(Start));
+  Self->Deps.Metrics.observe(metrics::StartSeconds, Self->Deps.Time.Now() - SentAt);
+  Self->Deps.Metrics.count(metrics::Starts, std::to_string(static_cast<int>(What)));
+  if (Self->Stopped)
+    co_return;
+  noteOrder(Self->Pace, What != StartResult::Unknown);
+  if (What != StartResult::Started)
+    logEvent(events::StartNotConfirmed, {{"task", toString(Order.Run.Task)},
+                                         {"run", std::to_string(Order.Run.Run)},
+                                         {"worker", Order.Worker},
+                                         {"result", std::to_string(static_cast<int>(What))}});
+  if (What == StartResult::Unknown)
+    noteLoss(Self->Losses, Order.Worker, Self->Deps.Time.Now());
+  Effects Out;
+  startAnswered(Self->Cell, Order.Worker, Order.Run, What, Self->Deps.Time.Now(), Out);
+  Self->executeEffects(Out);
+  if (What != StartResult::Started)
+    Self->schedulePlacement();
+}
+
+Awaitable<void> SchedulerRunner::sendStop(SelfPtr Self, Effects::Stop Order) {
+  const auto Found = Self->Cell.Workers.find(Order.Worker);
+  if (Found == Self->Cell.Workers.end() || Self->Stopped)
+    co_return;
+  logEvent(events::RunStopped, {{"task", toString(Order.Run.Task)},
+                                {"run", std::to_string(Order.Run.Run)},
+                                {"worker", Order.Worker},
+                                {"why", "\"" + Order.Why + "\""}});
+  StopRun Stop{{Order.Worker, Found->second.Info.Address},
+               Order.Run,
+               Self->OwnClaim.Term,
+               Self->Pace.Timeout};
+  Result<Done> Answer = co_await Self->Deps.Workers.Stop(std::move(Stop));
+  if (Self->Stopped)
+    co_return;
+  Effects Out;
+  if (ok(Answer))
+    stopAnswered(Self->Cell, Order.Worker, Order.Run, true, Self->Deps.Time.Now(), Out);
+  else if (error(Answer).Kind == ErrorKind::NotOwner)
+    Out.Deposed = true;
+  else if (error(Answer).Kind == ErrorKind::NotFound)
+    workerOver(Self->Cell, Order.Worker, Self->Deps.Time.Now(), Out);
+  else
+    stopAnswered(Self->Cell, Order.Worker, Order.Run, false, Self->Deps.Time.Now(), Out);
+  Self->executeEffects(Out);
+}
+
+} // namespace valveshelf
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -17,25 +17,25 @@
 namespace {
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
 // Time outs are looked for this often.
-constexpr Milliseconds TickEvery{50};
+constexpr Milliseconds TickInterval{50};
 // Events that come together are placed together. A pass that took long, because much waits, is
 // followed by a pause of so many times its length, which leaves the processor to orders and ends.
-constexpr Milliseconds PlaceDelay{2};
-constexpr int PauseForPass = 4;
+constexpr Milliseconds PlacementDelay{2};
+constexpr int PlacementPauseFactor = 4;
 // Between two watches of what callers handed in. An announcement that is lost costs this time.
-constexpr Milliseconds IntakeGather{250};
+constexpr Milliseconds IntakeWatchPause{250};
 // Run numbers of one term; no task starts so often in one.
 constexpr uint32_t RunsPerTerm = 1000;
 
 } // namespace
 
-SchedulerRunner::SchedulerRunner(const SchedulerTools &Tools, Claim Mine,
+SchedulerRunner::SchedulerRunner(const SchedulerDependencies &Deps, Claim OwnClaim,
                                  std::function<void()> OnEnd)
-    : Tools(Tools), Mine(Mine), OnEnd(std::move(OnEnd)),
-      Lanes(Tools.Where, Tools.Time, Tools.Ask,
+    : Deps(Deps), OwnClaim(OwnClaim), OnEnd(std::move(OnEnd)),
+      Lanes(Deps.Where, Deps.Time, Deps.AskAdvice,
             [this](const Effects::Ask &Question, const Result<Advice> &Answer,
                    const std::string &Lane, Steady::duration Took) {
-              this->Tools.Metrics.observe(metrics::AdviceSeconds, Took);
+              this->Deps.Metrics.observe(metrics::AdviceSeconds, Took);
               logEvent(
                   events::AdviceGiven,
                   {{"step", toString(Question.Step)},
@@ -46,40 +46,40 @@
                    {"ms", std::to_string(std::chrono::duration_cast<Milliseconds>(Took).count())}});
               if (ok(Answer))
                 adviceAnswered(Cell, Question.Step, Question.Workers, value(Answer).Eligible,
-                               value(Answer).Valid, this->Tools.Time.Now());
+                               value(Answer).Valid, this->Deps.Time.Now());
               else
-                adviceFailed(Cell, Question.Step, this->Tools.Time.Now());
-              placeSoon();
+                adviceFailed(Cell, Question.Step, this->Deps.Time.Now());
+              schedulePlacement();
             }),
-      SaveWake(Tools.Where, TimePoint::max()), PlaceTimer(Tools.Where) {
-  Cell.Limits = Tools.Settings.Scheduler;
-  Cell.Fence = Mine.Term;
-  Cell.FirstRun = static_cast<uint32_t>((Mine.Term - 1) * RunsPerTerm + 1);
-  Cell.Wall = Tools.Time.Wall();
-  Cell.WallAt = Tools.Time.Now();
-  Pace.Least = Pace.Timeout = Tools.Settings.Timing.WorkerTimeout;
+      SaveTimer(Deps.Where, TimePoint::max()), PlacementTimer(Deps.Where) {
+  Cell.Limits = Deps.Settings.Scheduler;
+  Cell.Fence = OwnClaim.Term;
+  Cell.FirstRun = static_cast<uint32_t>((OwnClaim.Term - 1) * RunsPerTerm + 1);
+  Cell.Wall = Deps.Time.Wall();
+  Cell.WallAt = Deps.Time.Now();
+  Pace.Least = Pace.Timeout = Deps.Settings.Timing.WorkerTimeout;
   Pace.Most = std::max(Pace.Most, Pace.Least);
 }
 
-void SchedulerRunner::start() { spawnLater(Tools.Where, run(shared_from_this())); }
+void SchedulerRunner::start() { spawnLater(Deps.Where, loadWithRetries(shared_from_this())); }
 
 void SchedulerRunner::stop() {
   Stopped = true;
   for (const MetricKind *Kind : {&metrics::Jobs, &metrics::Waiting, &metrics::Workers,
                                  &metrics::ZonesEvacuated, &metrics::WorkerListAge})
-    Tools.Metrics.set(*Kind, 0);
+    Deps.Metrics.set(*Kind, 0);
   Lanes.stop();
-  SaveWake.cancel();
-  PlaceTimer.cancel();
-  for (const auto &[Id, Wake] : HoldWakes)
+  SaveTimer.cancel();
+  PlacementTimer.cancel();
+  for (const auto &[Id, Wake] : WakeTimers)
     Wake->cancel();
 }
 
-void SchedulerRunner::end(const char *Why) {
+void SchedulerRunner::endTerm(const char *Why) {
   if (Stopped)
     return;
   logEvent(events::TermEnded,
-           {{"term", std::to_string(Mine.Term)}, {"why", "\"" + std::string(Why) + "\""}});
+           {{"term", std::to_string(OwnClaim.Term)}, {"why", "\"" + std::string(Why) + "\""}});
   stop();
   OnEnd();
 }
@@ -91,21 +91,21 @@
 
 void SchedulerRunner::setConfiguration(const CellConfiguration &Config) {
   configured(Cell, Config);
-  placeSoon();
+  schedulePlacement();
 }
 
-void SchedulerRunner::setEvacuated(EvacuatedZones Zones) {
+void SchedulerRunner::setEvacuatedZones(EvacuatedZones Zones) {
   if (!evacuate(Cell, std::move(Zones)))
     return;
-  Tools.Metrics.set(metrics::ZonesEvacuated, static_cast<double>(Cell.Evacuated.Names.size()));
-  placeSoon();
+  Deps.Metrics.set(metrics::ZonesEvacuated, static_cast<double>(Cell.Evacuated.Names.size()));
+  schedulePlacement();
 }
 
 // Loading.
 
-Awaitable<void> SchedulerRunner::run(Self Me) {
-  while (!Me->Stopped) {
-    Result<Done> Loaded = co_await Me->load();
+Awaitable<void> SchedulerRunner::loadWithRetries(SelfPtr Self) {
+  while (!Self->Stopped) {
+    Result<Done> Loaded = co_await Self->load();
     if (ok(Loaded))
       co_return;
     co_await sleepFor(RetryPause);
@@ -113,10 +113,10 @@
 }
 
 void SchedulerRunner::loadJobs(const KeyRange &Intake, const KeyRange &Runs) {
-  const TimePoint Now = Tools.Time.Now();
+  const TimePoint Now = Deps.Time.Now();
   for (const KeyValue &Item : Intake.Items)
     if (Item.Key.starts_with(JobPrefix))
-      takeIntake(Item, false);
+      applyIntakeItem(Item, false);
   for (const KeyValue &Item : Runs.Items) {
     const auto Id = jobOfKey(Item.Key, ProgressPrefix);
     const auto Found = Id ? Cell.Jobs.find(*Id) : Cell.Jobs.end();
@@ -136,12 +136,12 @@
   for (const KeyValue &Item : Intake.Items)
     if (const auto Id = jobOfKey(Item.Key, CancelPrefix))
       cancelJob(Cell, *Id, Now, Out);
-  apply(Out);
+  executeEffects(Out);
 }
 
 void SchedulerRunner::loadWorkers(const KeyRange &Listed, const KeyRange &Runs) {
   for (const KeyValue &Item : Listed.Items)
-    takeWorker(Item, false);
+    applyWorkerItem(Item, false);
   for (const KeyValue &Item : Runs.Items) {
     if (!Item.Key.starts_with(WorkerRecordPrefix))
       continue;
@@ -152,22 +152,22 @@
                {{"key", Item.Key}}); // it stays: somebody else may read it
       continue;
     }
-    Records[Id] = Item.Revision;
-    workerMayHoldRuns(Cell, value(Info), leaseEnd(IdleHold));
+    WorkerRecords[Id] = Item.Revision;
+    workerMayHoldRuns(Cell, value(Info), leaseEnd(IdleHeartbeatInterval));
   }
 }
 
 Awaitable<Result<Done>> SchedulerRunner::load() {
-  const TimePoint Begun = Tools.Time.Now();
+  const TimePoint Begun = Deps.Time.Now();
   // All at a time: nothing is started before the last of them, and a slow store takes a quarter of
   // a second for each. Nobody else writes runs any more, since those writes ask for this claim. The
   // zones are read in each term, as what this process heard last may be older than the claim.
   using namespace asio::experimental::awaitable_operators;
   const auto [Listed, Runs, Intake, Evacuated] =
-      co_await (Tools.Store.Range(Tools.WorkerPrefix, false) &&
-                Tools.Store.Range(std::string(RunPrefix), false) &&
-                Tools.Store.Range(std::string(IntakePrefix), false) &&
-                Tools.Store.Range(Tools.EvacuationPrefix, false));
+      co_await (Deps.Store.Range(Deps.WorkerPrefix, false) &&
+                Deps.Store.Range(std::string(RunPrefix), false) &&
+                Deps.Store.Range(std::string(IntakePrefix), false) &&
+                Deps.Store.Range(Deps.EvacuationPrefix, false));
   for (const Result<KeyRange> *Read : {&Listed, &Runs, &Intake, &Evacuated})
     if (!ok(*Read))
       co_return error(*Read);
@@ -175,23 +175,23 @@
     co_return Done{};
   EvacuatedZones Zones{{}, value(Evacuated).Revision};
   for (const KeyValue &Item : value(Evacuated).Items)
-    Zones.Names.insert(lastPart(Item.Key, Tools.EvacuationPrefix));
-  setEvacuated(std::move(Zones));
+    Zones.Names.insert(lastPart(Item.Key, Deps.EvacuationPrefix));
+  setEvacuatedZones(std::move(Zones));
   loadWorkers(value(Listed), value(Runs));
   loadJobs(value(Intake), value(Runs));
-  const Self Me = shared_from_this();
-  spawnLater(Tools.Where, watchIntake(Me, value(Intake).Revision));
-  WorkersRevision = value(Listed).Revision;
-  noteListAnswer(WorkersAge, Begun, Milliseconds(0));
-  spawnLater(Tools.Where, watchWorkers(Me));
-  spawnLater(Tools.Where, saveLoop(Me));
-  spawnLater(Tools.Where, recordsLoop(Me));
-  spawnLater(Tools.Where, tickLoop(Me));
-  holdAll();
-  placeSoon();
-  const auto Took = std::chrono::duration_cast<Milliseconds>(Tools.Time.Now() - Begun);
-  Tools.Metrics.count(metrics::Terms);
-  logEvent(events::TermBegun, {{"term", std::to_string(Mine.Term)},
+  const SelfPtr Self = shared_from_this();
+  spawnLater(Deps.Where, watchIntake(Self, value(Intake).Revision));
+  WorkerListRevision = value(Listed).Revision;
+  noteListAnswer(WorkerListAge, Begun, Milliseconds(0));
+  spawnLater(Deps.Where, watchWorkers(Self));
+  spawnLater(Deps.Where, saveLoop(Self));
+  spawnLater(Deps.Where, recordsLoop(Self));
+  spawnLater(Deps.Where, tickLoop(Self));
+  startHeartbeats();
+  schedulePlacement();
+  const auto Took = std::chrono::duration_cast<Milliseconds>(Deps.Time.Now() - Begun);
+  Deps.Metrics.count(metrics::Terms);
+  logEvent(events::TermBegun, {{"term", std::to_string(OwnClaim.Term)},
                                {"jobs", std::to_string(Cell.Jobs.size())},
                                {"workers", std::to_string(Cell.Workers.size())},
                                {"unheard", std::to_string(Cell.Unheard.size())},
@@ -199,14 +199,14 @@
   co_return Done{};
 }
 
-void SchedulerRunner::takeIntake(const KeyValue &Item, bool Fresh) {
-  const TimePoint Now = Tools.Time.Now();
+void SchedulerRunner::applyIntakeItem(const KeyValue &Item, bool Fresh) {
+  const TimePoint Now = Deps.Time.Now();
   Effects Out;
   if (const auto Cancelled = jobOfKey(Item.Key, CancelPrefix)) {
     if (Cell.Ended.count(*Cancelled))
-      OldCancels.insert(*Cancelled);
+      StaleCancels.insert(*Cancelled);
     cancelJob(Cell, *Cancelled, Now, Out);
-    apply(Out);
+    executeEffects(Out);
     return;
   }
   const auto Id = jobOfKey(Item.Key, JobPrefix);
@@ -233,9 +233,9 @@
                                 {"revision", std::to_string(Item.Revision)},
                                 {"new", Fresh ? "yes" : "no"}});
   addJob(Cell, std::make_shared<const JobSpec>(std::move(Read.Spec)), Item.Revision,
-         Fresh && Item.Revision > Mine.LeaderRevision, Now);
+         Fresh && Item.Revision > OwnClaim.LeaderRevision, Now);
   cancelIfAsked(Cell, *Id, Now, Out);
-  apply(Out);
+  executeEffects(Out);
 }
 
 void SchedulerRunner::announceJob(const std::string &Bytes, uint64_t Revision) {
@@ -246,49 +246,49 @@
     logEvent(events::RecordUnreadable, {{"key", "announced"}});
     return;
   }
-  takeIntake({jobKey(value(Stored).Spec.Id), Bytes, Revision, 0}, true);
-  placeSoon();
+  applyIntakeItem({jobKey(value(Stored).Spec.Id), Bytes, Revision, 0}, true);
+  schedulePlacement();
 }
 
 void SchedulerRunner::announceCancel(JobId Id) {
   if (Stopped || !Cell.Loaded)
     return;
-  takeIntake({cancelKey(Id), "", 0, 0}, true);
-  placeSoon();
+  applyIntakeItem({cancelKey(Id), "", 0, 0}, true);
+  schedulePlacement();
 }
 
 Awaitable<Result<uint64_t>> SchedulerRunner::rereadIntake() {
-  Result<KeyRange> Read = co_await Tools.Store.Range(std::string(IntakePrefix), false);
+  Result<KeyRange> Read = co_await Deps.Store.Range(std::string(IntakePrefix), false);
   if (!ok(Read))
     co_return error(Read);
   for (const KeyValue &Item : value(Read).Items)
-    takeIntake(Item, true);
-  placeSoon();
+    applyIntakeItem(Item, true);
+  schedulePlacement();
   co_return value(Read).Revision;
 }
 
-Awaitable<void> SchedulerRunner::watchIntake(Self Me, uint64_t From) {
-  while (!Me->Stopped) {
-    Result<KeyChanges> Read = co_await Me->Tools.Store.Watch(std::string(IntakePrefix), From,
-                                                             Me->Tools.Settings.Timing.WatchTime);
-    if (Me->Stopped)
+Awaitable<void> SchedulerRunner::watchIntake(SelfPtr Self, uint64_t From) {
+  while (!Self->Stopped) {
+    Result<KeyChanges> Read = co_await Self->Deps.Store.Watch(std::string(IntakePrefix), From,
+                                                              Self->Deps.Settings.Timing.WatchTime);
+    if (Self->Stopped)
       co_return;
     if (ok(Read)) {
       for (const KeyChange &Change : value(Read).Changes)
         if (!Change.IsRemoved)
-          Me->takeIntake(Change.Item, true);
+          Self->applyIntakeItem(Change.Item, true);
       From = std::max(From, value(Read).Revision);
-      Me->placeSoon();
+      Self->schedulePlacement();
       // Jobs are announced as well; news is gathered so that a busy hour costs few calls.
       if (!value(Read).Changes.empty() && !mayBeTruncated(value(Read)))
-        co_await sleepFor(IntakeGather);
+        co_await sleepFor(IntakeWatchPause);
       continue;
     }
     if (error(Read).Kind != ErrorKind::NotFound) {
       co_await sleepFor(RetryPause);
       continue; // the next one goes on from where this one would have
     }
-    Result<uint64_t> Again = co_await Me->rereadIntake();
+    Result<uint64_t> Again = co_await Self->rereadIntake();
     if (ok(Again))
       From = value(Again);
     else
@@ -298,43 +298,43 @@
 
 // Decisions.
 
-bool SchedulerRunner::stoodStill() const {
-  return LastTick != TimePoint{} && Tools.Time.Now() - LastTick > Tools.Settings.Timing.LeaderLease;
+bool SchedulerRunner::wasSuspended() const {
+  return LastTick != TimePoint{} && Deps.Time.Now() - LastTick > Deps.Settings.Timing.LeaderLease;
 }
 
-void SchedulerRunner::apply(Effects &Out) {
+void SchedulerRunner::executeEffects(Effects &Out) {
   if (Stopped)
     return;
-  if (stoodStill())
-    return end("this process stood still");
+  if (wasSuspended())
+    return endTerm("this process stood still");
   if (Out.Deposed)
-    return end("a worker has heard a newer scheduler");
-  report(Out);
-  const Self Me = shared_from_this();
+    return endTerm("a worker has heard a newer scheduler");
+  reportEffects(Out);
+  const SelfPtr Self = shared_from_this();
   for (Effects::Start &Order : Out.Starts)
-    spawnLater(Tools.Where, sendStart(Me, std::move(Order)));
+    spawnLater(Deps.Where, sendStart(Self, std::move(Order)));
   for (Effects::Stop &Order : Out.Stops)
-    spawnLater(Tools.Where, sendStop(Me, std::move(Order)));
+    spawnLater(Deps.Where, sendStop(Self, std::move(Order)));
   for (Effects::Ask &Question : Out.Asks)
     Lanes.add(std::move(Question));
   for (const std::string &Id : Out.Looks)
-    spawnLater(Tools.Where, look(Me, Id));
+    spawnLater(Deps.Where, sendHeartbeatNow(Self, Id));
   if (Out.Save)
-    SaveWake.cancel();
+    SaveTimer.cancel();
   if (Out.Wants)
-    holdAll();
+    startHeartbeats();
   Out = {};
 }
 
 // The decisions that touch jobs, for the log and the figures.
-void SchedulerRunner::report(const Effects &Out) {
-  const TimePoint Now = Tools.Time.Now();
+void SchedulerRunner::reportEffects(const Effects &Out) {
+  const TimePoint Now = Deps.Time.Now();
   const auto Millis = [](Steady::duration Time) {
     return std::to_string(std::chrono::duration_cast<Milliseconds>(Time).count());
   };
   for (const Effects::Placed &What : Out.Placements) {
     if (What.First)
-      Tools.Metrics.observe(metrics::FirstStartSeconds, Now - What.RunnableSince);
+      Deps.Metrics.observe(metrics::FirstStartSeconds, Now - What.RunnableSince);
     logEvent(events::StepPlaced, {{"step", toString(What.Step)},
                                   {"tasks", std::to_string(What.Tasks)},
                                   {"workers", std::to_string(What.Workers)},
@@ -348,7 +348,7 @@
                                   {"failures", std::to_string(What.Failures)},
                                   {"allowed", std::to_string(What.MaxAttempts)}});
   for (const Effects::Loss &What : Out.Losses) {
-    Tools.Metrics.count(metrics::RunsLost, std::string(toString(What.How)));
+    Deps.Metrics.count(metrics::RunsLost, std::string(toString(What.How)));
     logEvent(events::RunLost, {{"task", toString(What.Run.Task)},
                                {"run", std::to_string(What.Run.Run)},
                                {"worker", What.Worker},
@@ -365,7 +365,7 @@
                                     {"crashes", std::to_string(What.Crashes)},
                                     {"doubts", std::to_string(What.Doubts)}});
   for (const Effects::GivenUp &What : Out.TasksGivenUp) {
-    Tools.Metrics.count(metrics::TasksGivenUp);
+    Deps.Metrics.count(metrics::TasksGivenUp);
     logEvent(events::TaskGivenUp, {{"task", toString(What.Task)},
                                    {"crashes", std::to_string(What.Crashes)},
                                    {"doubts", std::to_string(What.Doubts)},
@@ -373,47 +373,48 @@
   }
 }
 
-void SchedulerRunner::placeSoon() {
-  if (PlaceWaits || Stopped)
+void SchedulerRunner::schedulePlacement() {
+  if (IsPlacementScheduled || Stopped)
     return;
-  PlaceWaits = true;
-  PlaceTimer.expires_after(std::max<Steady::duration>(PlaceDelay, LastPass * PauseForPass));
-  PlaceTimer.async_wait([Me = shared_from_this()](boost::system::error_code) {
-    Me->PlaceWaits = false;
-    if (Me->Stopped)
+  IsPlacementScheduled = true;
+  PlacementTimer.expires_after(
+      std::max<Steady::duration>(PlacementDelay, LastPlacementTime * PlacementPauseFactor));
+  PlacementTimer.async_wait([Self = shared_from_this()](boost::system::error_code) {
+    Self->IsPlacementScheduled = false;
+    if (Self->Stopped)
       return;
-    Me->placeNow();
+    Self->runPlacement();
   });
 }
 
-void SchedulerRunner::placeNow() {
-  const TimePoint Begun = Tools.Time.Now();
-  if (isFleetBehind())
+void SchedulerRunner::runPlacement() {
+  const TimePoint Begun = Deps.Time.Now();
+  if (isWorkerListStale())
     return;
   Effects Out;
   place(Cell, Begun, Out);
-  LastPass = Tools.Time.Now() - Begun;
-  Tools.Metrics.observe(metrics::PlaceSeconds, LastPass);
-  apply(Out);
+  LastPlacementTime = Deps.Time.Now() - Begun;
+  Deps.Metrics.observe(metrics::PlaceSeconds, LastPlacementTime);
+  executeEffects(Out);
 }
 
-Awaitable<void> SchedulerRunner::tickLoop(Self Me) {
-  while (!Me->Stopped) {
-    co_await sleepFor(TickEvery);
-    if (Me->Stopped)
+Awaitable<void> SchedulerRunner::tickLoop(SelfPtr Self) {
+  while (!Self->Stopped) {
+    co_await sleepFor(TickInterval);
+    if (Self->Stopped)
       co_return;
-    if (Me->stoodStill())
-      co_return Me->end("this process stood still");
-    Me->LastTick = Me->Tools.Time.Now();
-    Me->Tools.Metrics.set(metrics::Jobs, static_cast<double>(Me->Cell.Jobs.size()));
-    Me->Tools.Metrics.set(metrics::Waiting, static_cast<double>(Me->Cell.Queue.size()));
-    Me->Tools.Metrics.set(metrics::Workers, static_cast<double>(Me->Cell.Workers.size()));
+    if (Self->wasSuspended())
+      co_return Self->endTerm("this process stood still");
+    Self->LastTick = Self->Deps.Time.Now();
+    Self->Deps.Metrics.set(metrics::Jobs, static_cast<double>(Self->Cell.Jobs.size()));
+    Self->Deps.Metrics.set(metrics::Waiting, static_cast<double>(Self->Cell.Queue.size()));
+    Self->Deps.Metrics.set(metrics::Workers, static_cast<double>(Self->Cell.Workers.size()));
     Effects Out;
-    tick(Me->Cell, Me->Tools.Time.Now(), Me->Tools.Time.Wall(), Out);
-    Me->apply(Out);
-    Me->lookWhereAnswersMayBeLost();
-    Me->lookAtListIfOld();
-    Me->placeSoon();
+    tick(Self->Cell, Self->Deps.Time.Now(), Self->Deps.Time.Wall(), Out);
+    Self->executeEffects(Out);
+    Self->recheckBusyWorkers();
+    Self->refreshWorkerListIfOld();
+    Self->schedulePlacement();
   }
 }
 
--- a/src/cell/scheduler_runner_test.cpp
+++ b/src/cell/scheduler_runner_test.cpp
@@ -20,9 +20,9 @@
 struct FakeWorker {
   std::vector<ActiveRun> Active;
   std::vector<EndedRun> Ended;
-  int StartsToLose = 0;   ///< Answers of so many starts are lost; they are carried out.
-  bool LosesHeld = false; ///< Calls that are held get no answer.
-  bool IsGone = false;    ///< Another life answers at its address.
+  int StartsToLose = 0;        ///< Answers of so many starts are lost; they are carried out.
+  bool LosesLongPolls = false; ///< Calls that are held get no answer.
+  bool IsReplaced = false;     ///< Another life answers at its address.
 
   void end(uint32_t Index) {
     for (size_t I = 0; I < Active.size(); ++I)
@@ -37,8 +37,8 @@
 struct Bench {
   boost::asio::io_context Io;
   fakes::FakeKeyValueStore Store{Io};
-  Milliseconds CommitTime{0};    ///< From a commit's call to its effect.
-  std::vector<Transaction> Sent; ///< All commits.
+  Milliseconds CommitTime{0};       ///< From a commit's call to its effect.
+  std::vector<Transaction> Commits; ///< All commits.
   std::map<std::string, FakeWorker> Workers;
   CellSettings Settings;
   CellMetrics Metrics;
@@ -71,7 +71,7 @@
     KeyValueStore Ops = Store.ops();
     Ops.Commit = [this,
                   Inner = Ops.Commit](Transaction What) -> Awaitable<Result<TransactionResult>> {
-      Sent.push_back(What);
+      Commits.push_back(What);
       co_await sleepFor(CommitTime);
       co_return co_await Inner(std::move(What));
     };
@@ -115,9 +115,9 @@
 
   Awaitable<Result<WorkerReport>> heartbeat(HeartbeatRequest Order) {
     FakeWorker &To = Workers.at(Order.To.Id);
-    if (To.IsGone)
+    if (To.IsReplaced)
       co_return Error{ErrorKind::NotFound, "another life"};
-    if (To.LosesHeld && Order.Wait.count() > 0) {
+    if (To.LosesLongPolls && Order.Wait.count() > 0) {
       co_await sleepFor(Order.Wait + Order.Timeout);
       co_return Error{ErrorKind::UpstreamCut, "no answer"};
     }
@@ -147,28 +147,29 @@
 
   void start() {
     constexpr uint64_t LeaderRevision = 2; // the first key that the constructor wrote
-    SchedulerTools Tools{Io.get_executor(),
-                         Clock{[this] { return Steady::now() + Suspended; }, Clock{}.Wall},
-                         Settings,
-                         storeOps(),
-                         workerLink(),
-                         {},
-                         std::string(WorkerPrefix),
-                         std::string(EvacuationPrefix),
-                         [this](std::string_view Id, std::string_view Bytes) -> Result<WorkerInfo> {
-                           if (Bytes != "listed")
-                             return Error{ErrorKind::BadRequest, "it can't be read"};
-                           WorkerInfo Info;
-                           Info.Id = Id;
-                           Info.Service = "pool";
-                           Info.Zone = "north";
-                           Info.Capacity = Capacity;
-                           return Info;
-                         },
-                         Metrics,
-                         Burn,
-                         [this] { return !Store.Down; }};
-    Runner = std::make_shared<SchedulerRunner>(Tools, Claim{1, LeaderRevision, 0},
+    SchedulerDependencies Deps{
+        Io.get_executor(),
+        Clock{[this] { return Steady::now() + Suspended; }, Clock{}.Wall},
+        Settings,
+        storeOps(),
+        workerLink(),
+        {},
+        std::string(WorkerPrefix),
+        std::string(EvacuationPrefix),
+        [this](std::string_view Id, std::string_view Bytes) -> Result<WorkerInfo> {
+          if (Bytes != "listed")
+            return Error{ErrorKind::BadRequest, "it can't be read"};
+          WorkerInfo Info;
+          Info.Id = Id;
+          Info.Service = "pool";
+          Info.Zone = "north";
+          Info.Capacity = Capacity;
+          return Info;
+        },
+        Metrics,
+        Burn,
+        [this] { return !Store.Down; }};
+    Runner = std::make_shared<SchedulerRunner>(Deps, Claim{1, LeaderRevision, 0},
                                                [this] { HasEnded = true; });
     Runner->start();
   }
@@ -195,11 +196,11 @@
 };
 
 // The ends on a worker whose held call was lost are seen long before that call is given up.
-TEST(SchedulerRunner, LooksAtBusyWorkersWhileCallsGetLost) {
+TEST(SchedulerRunner, SendsHeartbeatsToBusyWorkersWhileCallsAreLost) {
   Bench Given;
   for (auto &[Id, On] : Given.Workers) {
     On.StartsToLose = 1;
-    On.LosesHeld = true;
+    On.LosesLongPolls = true;
   }
   Given.submit(1, 20);
   Given.start();
@@ -213,7 +214,7 @@
   EXPECT_TRUE(Given.runUntil([&] { return Given.isComplete(1); }, 1500ms));
 }
 
-TEST(SchedulerRunner, AnEndIsWrittenBesideProgressUnderWay) {
+TEST(SchedulerRunner, SavesJobEndWhileProgressSaveIsInFlight) {
   Bench Given;
   Given.submit(1, 2);
   Given.start();
@@ -222,7 +223,7 @@
   // Of two workers, so that both ends are seen at once.
   ASSERT_EQ(Given.Workers.at("w0").Active.size(), 1u);
   const auto Saves = [&] {
-    return std::count_if(Given.Sent.begin(), Given.Sent.end(), [](const Transaction &What) {
+    return std::count_if(Given.Commits.begin(), Given.Commits.end(), [](const Transaction &What) {
       return !What.Puts.empty() &&
              (What.Puts[0].Key == progressKey(1) || What.Puts[0].Key == jobKey(1));
     });
@@ -237,17 +238,17 @@
 }
 
 // A removal that is carried out late must not take the record of a worker that is in use again.
-TEST(SchedulerRunner, ARecordIsRemovedOnlyAsItWasRead) {
+TEST(SchedulerRunner, RemovesWorkerRecordOnlyAtKnownRevision) {
   Bench Given;
   WorkerInfo Gone;
   Gone.Id = "gone";
   Gone.Service = "pool";
   Gone.Address = {"127.0.0.1", 5};
   Given.Store.put(workerKey("gone"), encodeWorkerRecord(Gone), 0);
-  Given.Workers["gone"].IsGone = true;
+  Given.Workers["gone"].IsReplaced = true;
   Given.start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.Store.value(workerKey("gone")).empty(); }));
-  for (const Transaction &What : Given.Sent)
+  for (const Transaction &What : Given.Commits)
     if (std::count(What.Removes.begin(), What.Removes.end(), workerKey("gone")) > 0) {
       const auto Guards = [&](const Transaction::Condition &Row) {
         return Row.Key == workerKey("gone") && Row.Revision != 0;
@@ -256,7 +257,7 @@
     }
 }
 
-TEST(SchedulerRunner, ARecordThatCannotBeReadStays) {
+TEST(SchedulerRunner, KeepsUnreadableWorkerRecord) {
   Bench Given;
   Given.Store.put(workerKey("strange"), "\xff\xff", 0);
   Given.start();
@@ -267,7 +268,7 @@
 
 // Its machine was suspended for longer than its claim holds: another scheduler may have begun. It
 // says nothing more to a worker.
-TEST(SchedulerRunner, AProcessThatWasSuspendedEndsItsTerm) {
+TEST(SchedulerRunner, EndsTermAfterSuspension) {
   Bench Given;
   Given.start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.Runner->loaded(); }));
@@ -280,7 +281,7 @@
 }
 
 // An entry that another writer has put there names no worker to use; the others hold.
-TEST(SchedulerRunner, AnEntryThatCannotBeReadNamesNoWorkerToUse) {
+TEST(SchedulerRunner, IgnoresMalformedWorkerEntries) {
   Bench Given;
   Given.Store.put(std::string(WorkerPrefix) + "w2", "\xff{", 0);
   Given.start();
@@ -302,7 +303,7 @@
 
 // What a worker says of its capacity is heard although the watch is silent: it is answered, and
 // nothing is in it.
-TEST(SchedulerRunner, ACapacityThatShrinksIsHeardOfBesideASilentWatch) {
+TEST(SchedulerRunner, NoticesReducedCapacityDespiteSilentWatch) {
   Bench Given;
   Given.Settings.Timing.WatchTime = 300ms;
   Given.Store.IsWatchSilent = true;
@@ -320,7 +321,7 @@
 }
 
 // A watch whose answers come seconds late: by it a worker that has said it leaves would get work.
-TEST(SchedulerRunner, StartsNothingWhileItIsBehindOnTheListOfWorkers) {
+TEST(SchedulerRunner, StartsNothingWhileWorkerListIsStale) {
   Bench Given;
   Given.start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.Runner->loaded(); }));
@@ -335,7 +336,7 @@
 }
 
 // Without a store nobody hears of leaving workers, and work goes on by what is known.
-TEST(SchedulerRunner, GoesOnStartingWhileTheStoreAnswersNobody) {
+TEST(SchedulerRunner, KeepsStartingRunsDuringStoreOutage) {
   Bench Given;
   Given.submit(1, 4);
   Given.start();
@@ -353,7 +354,7 @@
   EXPECT_TRUE(Given.runUntil([&] { return Given.running() == 12; }, 1s));
 }
 
-TEST(SchedulerRunner, AWatchWhoseAnswerIsLostHidesNoChangeForLong) {
+TEST(SchedulerRunner, RefreshesWorkerListWhenWatchAnswersAreLost) {
   Bench Given;
   Given.LosesListWatch = true;
   Given.start();
@@ -366,7 +367,7 @@
 }
 
 // Nothing is started before all of the store is read; a slow one is not asked four times in line.
-TEST(SchedulerRunner, ATermBeginsAfterOneAnswerOfASlowStore) {
+TEST(SchedulerRunner, LoadsAllPrefixesInParallel) {
   Bench Given;
   Given.RangeTime = 300ms;
   Given.start();
@@ -374,21 +375,21 @@
 }
 
 // The zones that operators want empty are known before anything is started.
-TEST(SchedulerRunner, ATermBeginsWithTheZonesThatAreToBeLeftEmpty) {
+TEST(SchedulerRunner, LoadsEvacuatedZonesBeforeStartingRuns) {
   Bench Given;
   Given.Store.put(std::string(EvacuationPrefix) + "north", "{}", 0);
   Given.submit(1, 4);
   Given.start();
   Given.runUntil([] { return false; }, 300ms);
   EXPECT_EQ(Given.running(), 0u) << "all workers stand there";
-  Given.Runner->setEvacuated({{}, 1000000});
+  Given.Runner->setEvacuatedZones({{}, 1000000});
   EXPECT_TRUE(Given.runUntil([&] { return Given.running() == 4; }));
 }
 
 // Workers of a whole fleet check in, each a change of the list, and the store tells 500 changes at
 // a time. On a trial of 1,002 boxes a worker that had said at 1.007 s that it leaves was given work
 // at 6.189 s; the first such word was logged at 16.4 s (VS-2403), and nothing looked late.
-TEST(SchedulerRunner, KeepsUpWithTheCheckInsOfAWholeFleet) {
+TEST(SchedulerRunner, KeepsUpWithCheckInsOfLargeCell) {
   Bench Given;
   Given.start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.Runner->loaded(); }));
--- a/src/cell/scheduler_saves.cpp
+++ b/src/cell/scheduler_saves.cpp
@@ -13,17 +13,17 @@
 namespace {
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
 // Transactions in flight at a time; a slow store still has to take in the ends of a busy cell.
-constexpr int MaxSaving = 12;
+constexpr int MaxSavesInFlight = 12;
 // Bytes of one transaction; keeps a call short on a small link.
 constexpr size_t MaxSaveBytes = 64 * 1024;
 // The list of workers in use, and what can be forgotten, is looked through this often.
-constexpr Milliseconds RecordsEvery{100};
+constexpr Milliseconds RecordsInterval{100};
 } // namespace
 
 // Every write holds only as long as this process is the scheduler.
-Transaction SchedulerRunner::guarded() const {
+Transaction SchedulerRunner::fencedTransaction() const {
   Transaction What;
-  What.Conditions.push_back({std::string(LeaderKey), Mine.LeaderRevision});
+  What.Conditions.push_back({std::string(LeaderKey), OwnClaim.LeaderRevision});
   return What;
 }
 
@@ -38,7 +38,7 @@
   // The job's own key guards both kinds: progress that the store writes late finds an ended job.
   Rows.Conditions.push_back({jobKey(Id), Of.Revision});
   if (Entry.Ends) {
-    Rows.Puts.push_back({jobKey(Id), encodeEndedJob(*Of.Spec, Of.Phase, Tools.Time.Wall()), 0, 0});
+    Rows.Puts.push_back({jobKey(Id), encodeEndedJob(*Of.Spec, Of.Phase, Deps.Time.Wall()), 0, 0});
     if (Of.ProgressRevision != 0 || Of.ProgressSent)
       Rows.Removes.push_back(progressKey(Id));
     if (Of.CancelWanted)
@@ -68,9 +68,9 @@
           Of == Cell.Jobs.end() ? !Ended : Ended == (Of->second.Phase != JobPhase::Live);
       // An end does not wait for progress that is being written: in a slow store it would be shown
       // an answer later than it could be.
-      if (!Matches || SavingNow.count({Id, Ended}) || !addToTransaction(Id, What, Batch))
+      if (!Matches || JobsBeingSaved.count({Id, Ended}) || !addToTransaction(Id, What, Batch))
         continue;
-      SavingNow.insert({Id, Ended});
+      JobsBeingSaved.insert({Id, Ended});
       Bytes += What.Puts.back().Value.size();
     }
   return Batch;
@@ -78,21 +78,21 @@
 
 // Counts a job that has ended against its objective. What its caller cancelled counts for nothing.
 void SchedulerRunner::countEnd(const Job &Of) {
-  Tools.Metrics.count(metrics::Ends, std::to_string(static_cast<int>(Of.Phase)));
+  Deps.Metrics.count(metrics::Ends, std::to_string(static_cast<int>(Of.Phase)));
   logEvent(events::JobEnded, {{"job", jobIdText(Of.Spec->Id)},
                               {"phase", std::to_string(static_cast<int>(Of.Phase))}});
   if (Of.Phase == JobPhase::Cancelled)
     return;
-  const bool InTime = Tools.Time.Now() <= Of.Objective;
+  const bool InTime = Deps.Time.Now() <= Of.Objective;
   const BurnOutcome What = Of.Phase == JobPhase::Failed ? BurnOutcome::Failed
                            : InTime                     ? BurnOutcome::Met
                                                         : BurnOutcome::Late;
-  noteEnd(Tools.Burn, Of.Spec->Queue, What, Tools.Time.Wall());
+  noteEnd(Deps.Burn, Of.Spec->Queue, What, Deps.Time.Wall());
 }
 
-void SchedulerRunner::saved(const std::vector<SaveEntry> &Batch, uint64_t Revision) {
+void SchedulerRunner::saveCommitted(const std::vector<SaveEntry> &Batch, uint64_t Revision) {
   for (const SaveEntry &Entry : Batch) {
-    SavingNow.erase({Entry.Id, Entry.Ends});
+    JobsBeingSaved.erase({Entry.Id, Entry.Ends});
     const auto Found = Cell.Jobs.find(Entry.Id);
     if (Found == Cell.Jobs.end())
       continue;
@@ -100,19 +100,19 @@
       countEnd(Found->second);
     const uint64_t JobRevision = Entry.Ends ? Revision : Found->second.Revision;
     for (const std::string &Worker : jobSaved(Cell, Entry.Id, Entry.Number, JobRevision,
-                                              Entry.Ends ? 0 : Revision, Tools.Time.Wall()))
-      wakeHold(Worker);
+                                              Entry.Ends ? 0 : Revision, Deps.Time.Wall()))
+      wakeHeartbeatLoop(Worker);
   }
 }
 
 // An earlier write of ours may have come through late: take the revisions as they stand.
-void SchedulerRunner::notSaved(const std::vector<SaveEntry> &Batch,
-                               const std::vector<KeyValue> &CurrentItems) {
+void SchedulerRunner::saveRejected(const std::vector<SaveEntry> &Batch,
+                                   const std::vector<KeyValue> &CurrentItems) {
   std::map<std::string, uint64_t> Revisions;
   for (const KeyValue &Item : CurrentItems)
     Revisions[Item.Key] = Item.Revision;
   for (const SaveEntry &Entry : Batch) {
-    SavingNow.erase({Entry.Id, Entry.Ends});
+    JobsBeingSaved.erase({Entry.Id, Entry.Ends});
     const auto Found = Cell.Jobs.find(Entry.Id);
     if (Found == Cell.Jobs.end())
       continue;
@@ -123,86 +123,88 @@
   }
 }
 
-Awaitable<void> SchedulerRunner::save(Self Me, Transaction What, std::vector<SaveEntry> Written) {
-  Result<TransactionResult> Answer = co_await Me->Tools.Store.Commit(std::move(What));
-  --Me->SavesInFlight;
-  if (Me->Stopped)
+Awaitable<void> SchedulerRunner::save(SelfPtr Self, Transaction What,
+                                      std::vector<SaveEntry> Written) {
+  Result<TransactionResult> Answer = co_await Self->Deps.Store.Commit(std::move(What));
+  --Self->SavesInFlight;
+  if (Self->Stopped)
     co_return;
   if (ok(Answer) && value(Answer).Applied) {
-    Me->saved(Written, value(Answer).Revision);
+    Self->saveCommitted(Written, value(Answer).Revision);
   } else if (ok(Answer)) {
-    if (Me->hasOtherLeader(value(Answer).CurrentItems))
-      co_return Me->end("the store has another scheduler");
-    Me->notSaved(Written, value(Answer).CurrentItems);
+    if (Self->hasOtherLeader(value(Answer).CurrentItems))
+      co_return Self->endTerm("the store has another scheduler");
+    Self->saveRejected(Written, value(Answer).CurrentItems);
   } else {
     co_await sleepFor(RetryPause);
     for (const SaveEntry &Entry : Written)
-      Me->SavingNow.erase({Entry.Id, Entry.Ends});
+      Self->JobsBeingSaved.erase({Entry.Id, Entry.Ends});
   }
-  Me->SaveWake.cancel();
+  Self->SaveTimer.cancel();
 }
 
-Awaitable<void> SchedulerRunner::saveLoop(Self Me) {
-  while (!Me->Stopped) {
-    Transaction What = Me->guarded();
+Awaitable<void> SchedulerRunner::saveLoop(SelfPtr Self) {
+  while (!Self->Stopped) {
+    Transaction What = Self->fencedTransaction();
     std::vector<SaveEntry> Batch;
-    if (Me->SavesInFlight < MaxSaving)
-      Batch = Me->nextBatch(What);
+    if (Self->SavesInFlight < MaxSavesInFlight)
+      Batch = Self->nextBatch(What);
     if (Batch.empty()) {
-      Me->SaveWake.expires_at(TimePoint::max());
-      co_await Me->SaveWake.async_wait(AsTuple);
-      if (!Me->Stopped)
-        co_await sleepFor(Me->Tools.Settings.Timing.Gather);
+      Self->SaveTimer.expires_at(TimePoint::max());
+      co_await Self->SaveTimer.async_wait(AsTuple);
+      if (!Self->Stopped)
+        co_await sleepFor(Self->Deps.Settings.Timing.Gather);
       continue;
     }
-    ++Me->SavesInFlight;
-    spawnLater(Me->Tools.Where, save(Me, std::move(What), std::move(Batch)));
+    ++Self->SavesInFlight;
+    spawnLater(Self->Deps.Where, save(Self, std::move(What), std::move(Batch)));
   }
 }
 
 Awaitable<void> SchedulerRunner::flush(Milliseconds Time) {
-  const TimePoint Limit = Tools.Time.Now() + Time;
-  while (!Stopped && (!Cell.Saves.empty() || SavesInFlight > 0) && Tools.Time.Now() < Limit)
-    co_await sleepFor(Tools.Settings.Timing.Gather / 2);
+  const TimePoint Limit = Deps.Time.Now() + Time;
+  while (!Stopped && (!Cell.Saves.empty() || SavesInFlight > 0) && Deps.Time.Now() < Limit)
+    co_await sleepFor(Deps.Settings.Timing.Gather / 2);
 }
 
 // After a write whose conditions do not hold: the leader's key is another's, or gone.
 bool SchedulerRunner::hasOtherLeader(const std::vector<KeyValue> &CurrentItems) const {
   return std::none_of(CurrentItems.begin(), CurrentItems.end(), [&](const KeyValue &Item) {
-    return Item.Key == LeaderKey && Item.Revision == Mine.LeaderRevision;
+    return Item.Key == LeaderKey && Item.Revision == OwnClaim.LeaderRevision;
   });
 }
 
 // The workers of the list may be used from now on.
-void SchedulerRunner::noteRecords(const std::vector<std::string> &Noted, uint64_t Revision) {
+void SchedulerRunner::workerRecordsWritten(const std::vector<std::string> &Noted,
+                                           uint64_t Revision) {
   for (const std::string &Id : Noted) {
-    Records[Id] = Revision;
+    WorkerRecords[Id] = Revision;
     if (const auto Found = Cell.Workers.find(Id); Found != Cell.Workers.end())
       Found->second.Saved = true;
   }
 }
 
-void SchedulerRunner::dropRecords(const std::vector<std::string> &Removed) {
+void SchedulerRunner::workerRecordsRemoved(const std::vector<std::string> &Removed) {
   for (const std::string &Id : Removed)
-    Records.erase(Id);
+    WorkerRecords.erase(Id);
 }
 
 // An earlier removal or note was carried out though its answer was lost.
-void SchedulerRunner::rereadRecords(const std::vector<std::string> &Asked,
-                                    const std::vector<KeyValue> &CurrentItems) {
-  dropRecords(Asked);
+void SchedulerRunner::reconcileWorkerRecords(const std::vector<std::string> &Asked,
+                                             const std::vector<KeyValue> &CurrentItems) {
+  workerRecordsRemoved(Asked);
   for (const KeyValue &Item : CurrentItems)
     for (const std::string &Id : Asked)
       if (Item.Key == workerKey(Id) && Item.Revision != 0)
-        Records[Id] = Item.Revision;
+        WorkerRecords[Id] = Item.Revision;
 }
 
 // Notes workers before their first use, and removes what is no longer needed.
-Awaitable<void> SchedulerRunner::recordsLoop(Self Me) {
-  while (!Me->Stopped) {
-    Transaction What = Me->guarded();
+Awaitable<void> SchedulerRunner::recordsLoop(SelfPtr Self) {
+  while (!Self->Stopped) {
+    Transaction What = Self->fencedTransaction();
     std::vector<std::string> Noted;
-    for (const auto &[Id, On] : Me->Cell.Workers)
+    for (const auto &[Id, On] : Self->Cell.Workers)
       if (On.Wanted && !On.Saved && What.rows() < MaxTransactionRows) {
         What.Puts.push_back({workerKey(Id), encodeWorkerRecord(On.Info), 0, 0});
         Noted.push_back(Id);
@@ -210,46 +212,46 @@
     // On the condition that the record is the one that was noted: a removal that the store carries
     // out late must not take the record of a worker that has come back and is in use again.
     std::vector<std::string> Left;
-    for (const auto &[Id, Revision] : Me->Records)
-      if (!Me->Cell.Workers.count(Id) && What.rows() + 2 <= MaxTransactionRows) {
+    for (const auto &[Id, Revision] : Self->WorkerRecords)
+      if (!Self->Cell.Workers.count(Id) && What.rows() + 2 <= MaxTransactionRows) {
         What.Conditions.push_back({workerKey(Id), Revision});
         What.Removes.push_back(workerKey(Id));
         Left.push_back(Id);
       }
-    for (const JobId Id : Me->OldCancels)
+    for (const JobId Id : Self->StaleCancels)
       if (What.rows() < MaxTransactionRows)
         What.Removes.push_back(cancelKey(Id));
-    auto &Old = Me->Cell.Forgettable;
-    const WallTime Before = Me->Tools.Time.Wall() - Me->Cell.Limits.StateKept;
+    auto &Old = Self->Cell.Forgettable;
+    const WallTime Before = Self->Deps.Time.Wall() - Self->Cell.Limits.StateKept;
     while (!Old.empty() && Old.front().first < Before && What.rows() < MaxTransactionRows) {
-      Me->Cell.Ended.erase(Old.front().second);
+      Self->Cell.Ended.erase(Old.front().second);
       What.Removes.push_back(jobKey(Old.front().second));
       Old.pop_front();
     }
     if (What.rows() <= 1) {
-      co_await sleepFor(RecordsEvery);
+      co_await sleepFor(RecordsInterval);
       continue;
     }
     const std::vector<std::string> Removed = What.Removes;
-    Result<TransactionResult> Answer = co_await Me->Tools.Store.Commit(std::move(What));
-    if (Me->Stopped)
+    Result<TransactionResult> Answer = co_await Self->Deps.Store.Commit(std::move(What));
+    if (Self->Stopped)
       co_return;
     if (!ok(Answer)) {
       co_await sleepFor(RetryPause);
       continue;
     }
-    if (!value(Answer).Applied && Me->hasOtherLeader(value(Answer).CurrentItems))
-      co_return Me->end("the store has another scheduler");
+    if (!value(Answer).Applied && Self->hasOtherLeader(value(Answer).CurrentItems))
+      co_return Self->endTerm("the store has another scheduler");
     if (!value(Answer).Applied) {
-      Me->rereadRecords(Left, value(Answer).CurrentItems);
+      Self->reconcileWorkerRecords(Left, value(Answer).CurrentItems);
       co_await sleepFor(RetryPause);
       continue;
     }
-    Me->noteRecords(Noted, value(Answer).Revision);
-    Me->dropRecords(Left);
+    Self->workerRecordsWritten(Noted, value(Answer).Revision);
+    Self->workerRecordsRemoved(Left);
     for (const std::string &Key : Removed)
-      std::erase_if(Me->OldCancels, [&](JobId Id) { return cancelKey(Id) == Key; });
-    Me->placeSoon();
+      std::erase_if(Self->StaleCancels, [&](JobId Id) { return cancelKey(Id) == Key; });
+    Self->schedulePlacement();
   }
 }
 
