--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -150,9 +150,9 @@
     Links.Peers = [this] { return schedulerFirst(); };
     Links.Schedules = [this] { return Lead.scheduler() != nullptr; };
     Links.HearsStore = [this] {
-      return Lead.scheduler() != nullptr || hearsStore(View.picture().Roster, Settings.Member);
+      return Lead.scheduler() != nullptr || hearsStore(View.snapshot().Roster, Settings.Member);
     };
-    Links.Hearers = [this] { return hearersFor(View.picture().Roster, Settings.Member); };
+    Links.Hearers = [this] { return hearersFor(View.snapshot().Roster, Settings.Member); };
     Links.Changed = [this] { Lead.configurationChanged(Config.current()); };
     Links.ZonesChanged = [this] { Lead.zonesChanged(Config.evacuated()); };
     return Links;
@@ -196,7 +196,7 @@
   // The other processes, the scheduler's before the others.
   std::vector<Endpoint> schedulerFirst() const {
     std::vector<Endpoint> Found = otherPeers();
-    const auto &Leader = View.picture().Leader;
+    const auto &Leader = View.snapshot().Leader;
     if (!Leader || Leader->Name == Settings.Member)
       return Found;
     std::erase(Found, Leader->Peers);
@@ -222,7 +222,7 @@
                                        std::vector<std::string> Workers, Milliseconds Timeout) {
     if (Lane == Settings.Member)
       co_return co_await From.Advice.Ask(Step, std::move(Workers), Timeout);
-    const auto &Members = View.picture().Members;
+    const auto &Members = View.snapshot().Members;
     const auto Found = Members.find(Lane);
     if (Found == Members.end())
       co_return Error{ErrorKind::UpstreamUnavailable, Lane + " has left"};
@@ -249,7 +249,7 @@
   }
 
   Awaitable<cell::AdviseReply> advise(cell::AdviseRequest Asked) {
-    if (const auto &Leader = View.picture().Leader; Leader && Leader->Name != Settings.Member)
+    if (const auto &Leader = View.snapshot().Leader; Leader && Leader->Name != Settings.Member)
       Config.peerHas(Leader->Peers, Asked.config_version());
     const StepKey Step{Asked.job(), Asked.round(), Asked.step()};
     std::vector<std::string> Workers(Asked.worker().begin(), Asked.worker().end());
@@ -310,7 +310,7 @@
         Here->announceCancel(Id);
       return;
     }
-    const auto &Leader = View.picture().Leader;
+    const auto &Leader = View.snapshot().Leader;
     if (Leader && Leader->Name != Settings.Member)
       spawnLater(Where, tell(Leader->Peers, std::move(News)));
   }
@@ -327,7 +327,7 @@
     Result<cell::AnnounceReply> Told =
         co_await Peers.Announce(To, std::move(Message), AnnounceTimeout);
     if (!ok(Told) || value(Told).error() != 0)
-      View.doubt();
+      View.refreshSoon();
     if (!ok(Told))
       co_return co_await Lead.suspect();
     Config.peerHas(To, value(Told).config_version());
@@ -350,7 +350,7 @@
 
   std::vector<Endpoint> otherPeers() const {
     std::vector<Endpoint> Found;
-    for (const auto &[Name, Info] : View.picture().Members)
+    for (const auto &[Name, Info] : View.snapshot().Members)
       if (Name != Settings.Member)
         Found.push_back(Info.Peers);
     return Found;
@@ -439,7 +439,7 @@
 
   Awaitable<HttpResponse> explain(JobId Id) {
     std::string Text;
-    const auto &Leader = View.picture().Leader;
+    const auto &Leader = View.snapshot().Leader;
     if (const auto Here = Lead.scheduler()) {
       Text = Here->explain(Id);
     } else if (Leader && Leader->Name != Settings.Member) {
--- a/src/cell/cell_view.cpp
+++ b/src/cell/cell_view.cpp
@@ -15,9 +15,9 @@
 constexpr Milliseconds RetryPause{150};
 // A member's own entry is not urgent. When hundreds start at once the store can't take all entries
 // in, and a claim has to come through between them: the pause doubles up to this one.
-constexpr Milliseconds MostEnterPause{2400};
-// Between two readings of a picture that is doubted.
-constexpr Milliseconds DoubtPause{300};
+constexpr Milliseconds MaxRegisterPause{2400};
+// Between two readings of a snapshot that is doubted.
+constexpr Milliseconds RefreshPause{300};
 // Renewals in one life of a lease; two may be lost.
 constexpr int RenewalsPerTtl = 3;
 } // namespace
@@ -31,60 +31,60 @@
   spawnLater(Where, memberLoop());
 }
 
-void CellView::take(const KeyValue &Item, bool IsRemoved) {
+void CellView::applyItem(const KeyValue &Item, bool IsRemoved) {
   if (Item.Key == LeaderKey) {
-    Picture.Leader.reset();
-    Picture.LeaderRevision = IsRemoved ? 0 : Item.Revision;
+    Snapshot.Leader.reset();
+    Snapshot.LeaderRevision = IsRemoved ? 0 : Item.Revision;
     Result<Leader> Read = IsRemoved ? Result<Leader>(Error{}) : decodeLeader(Item.Value);
     if (ok(Read))
-      Picture.Leader = value(Read);
+      Snapshot.Leader = value(Read);
     return;
   }
   if (Item.Key == RosterKey)
-    takeRoster(Item, IsRemoved);
+    applyRoster(Item, IsRemoved);
 }
 
-void CellView::takeRoster(const KeyValue &Item, bool IsRemoved) {
+void CellView::applyRoster(const KeyValue &Item, bool IsRemoved) {
   Result<Roster> Read = IsRemoved ? Result<Roster>(Roster{}) : decodeRoster(Item.Value);
   if (!ok(Read)) {
     logEvent(events::RecordUnreadable, {{"key", Item.Key}});
     return;
   }
-  Picture.Roster = value(Read);
-  joinMembers();
+  Snapshot.Roster = value(Read);
+  updateMembers();
 }
 
-void CellView::joinMembers() {
-  Picture.Members = AllMembers;
-  for (const Member &One : Picture.Roster.Members)
+void CellView::updateMembers() {
+  Snapshot.Members = AllMembers;
+  for (const Member &One : Snapshot.Roster.Members)
     if (AllMembers.empty())
-      Picture.Members[One.Name] = One;
+      Snapshot.Members[One.Name] = One;
 }
 
 void CellView::setAllMembers(std::map<std::string, Member> All) {
   AllMembers = std::move(All);
-  joinMembers();
+  updateMembers();
   Changed();
 }
 
 Milliseconds CellView::watchTime() const {
-  return sharedPace(Picture.Roster.Processes, Settings.Timing.WatchTime);
+  return sharedPace(Snapshot.Roster.Processes, Settings.Timing.WatchTime);
 }
 
 Milliseconds CellView::memberLease() const {
-  return sharedPace(Picture.Roster.Processes, Settings.Timing.MemberLease);
+  return sharedPace(Snapshot.Roster.Processes, Settings.Timing.MemberLease);
 }
 
-void CellView::doubt() {
-  if (!Rereads && !Stopped)
-    spawnLater(Where, readAgain());
+void CellView::refreshSoon() {
+  if (!IsRefreshing && !Stopped)
+    spawnLater(Where, refresh());
 }
 
-Awaitable<void> CellView::readAgain() {
-  Rereads = true;
+Awaitable<void> CellView::refresh() {
+  IsRefreshing = true;
   co_await readAll();
-  co_await sleepFor(DoubtPause);
-  Rereads = false;
+  co_await sleepFor(RefreshPause);
+  IsRefreshing = false;
 }
 
 Awaitable<Result<Done>> CellView::readAll() {
@@ -93,11 +93,11 @@
     co_return error(Read);
   if (value(Read).Revision < Revision)
     co_return Done{}; // the watch has brought newer news meanwhile
-  Picture = {};
-  joinMembers();
+  Snapshot = {};
+  updateMembers();
   for (const KeyValue &Item : value(Read).Items)
-    take(Item, false);
-  Picture.Known = true;
+    applyItem(Item, false);
+  Snapshot.IsLoaded = true;
   Revision = value(Read).Revision;
   Changed();
   co_return Done{};
@@ -121,7 +121,7 @@
     }
     for (const KeyChange &Change : value(Read).Changes)
       if (Change.Item.Revision > Revision) // a reading may have overtaken the watch
-        take(Change.Item, Change.IsRemoved);
+        applyItem(Change.Item, Change.IsRemoved);
     Revision = std::max(Revision, value(Read).Revision);
     if (value(Read).Changes.empty())
       continue;
@@ -129,7 +129,7 @@
   }
 }
 
-Awaitable<Result<Done>> CellView::enter() {
+Awaitable<Result<Done>> CellView::registerMember() {
   const Milliseconds Ttl = memberLease();
   Result<uint64_t> Granted = co_await Store.GrantLease(Ttl);
   if (!ok(Granted))
@@ -152,7 +152,7 @@
     Result<Done> Kept = Done{};
     // A lease of another length is a new one; the old one lapses without its key.
     if (Lease == 0 || memberLease() > LeaseTtl + LeaseTtl / 2)
-      Kept = co_await enter();
+      Kept = co_await registerMember();
     else
       Kept = co_await Store.RenewLease(Lease);
     if (ok(Kept)) {
@@ -165,7 +165,7 @@
     // A renewal has to come in time; an entry that is refused waits, each process its own time.
     std::uniform_int_distribution<int64_t> Spread(Pause.count() / 2, Pause.count() * 3 / 2);
     co_await sleepFor(Milliseconds(Spread(Random)));
-    Pause = Lease == 0 ? std::min(Pause * 2, MostEnterPause) : RetryPause;
+    Pause = Lease == 0 ? std::min(Pause * 2, MaxRegisterPause) : RetryPause;
   }
 }
 
--- a/src/cell/cell_view.h
+++ b/src/cell/cell_view.h
@@ -15,20 +15,20 @@
 
 namespace valveshelf {
 
-/// What of the cell is known here. A copy is a consistent picture.
-struct CellPicture {
+/// What of the cell is known here. A copy is a consistent snapshot.
+struct CellSnapshot {
   /// By name: those of the roster, and all of the cell while this process schedules.
   std::map<std::string, sched::Member> Members;
   sched::Roster Roster; ///< As the store has it.
   std::optional<sched::Leader> Leader;
   uint64_t LeaderRevision = 0; ///< Of the leader's key; 0: there is none.
-  bool Known = false;          ///< The store has been read.
+  bool IsLoaded = false;       ///< The store has been read.
 };
 
 /// Watches the cell. Lives on one strand; all calls come from there.
 class CellView {
 public:
-  /// \p Changed is called after each change of the picture.
+  /// \p Changed is called after each change of the snapshot.
   CellView(Executor Where, KeyValueStore Store, const CellSettings &Settings,
            std::function<void()> Changed);
 
@@ -36,36 +36,36 @@
   void stop() { Stopped = true; }
   /// Gives up this process's own place in the list, at once.
   Awaitable<void> leave();
-  const CellPicture &picture() const { return Picture; }
+  const CellSnapshot &snapshot() const { return Snapshot; }
   /// While this process schedules: all processes of the cell. Without any the roster holds.
   void setAllMembers(std::map<std::string, sched::Member> All);
-  /// Something speaks against the picture, such as a scheduler that says it is none: it is read
+  /// Something speaks against the snapshot, such as a scheduler that says it is none: it is read
   /// again, soon.
-  void doubt();
+  void refreshSoon();
   /// The longest wait of a watch that every process has.
   Milliseconds watchTime() const;
 
 private:
   Awaitable<void> watchLoop();
   Awaitable<Result<Done>> readAll();
-  Awaitable<void> readAgain();
-  void take(const KeyValue &Item, bool IsRemoved);
-  void takeRoster(const KeyValue &Item, bool IsRemoved);
-  void joinMembers();
+  Awaitable<void> refresh();
+  void applyItem(const KeyValue &Item, bool IsRemoved);
+  void applyRoster(const KeyValue &Item, bool IsRemoved);
+  void updateMembers();
   Awaitable<void> memberLoop();
   Milliseconds memberLease() const;
-  Awaitable<Result<Done>> enter();
+  Awaitable<Result<Done>> registerMember();
 
   const Executor Where;
   const KeyValueStore Store;
   const CellSettings &Settings;
   const std::function<void()> Changed;
-  CellPicture Picture;
+  CellSnapshot Snapshot;
   uint64_t Revision = 0; ///< The watch goes on from here; 0: everything has to be read.
   std::map<std::string, sched::Member> AllMembers; ///< While this process schedules.
   uint64_t Lease = 0;                              ///< Of this process's own key; 0: none.
   Milliseconds LeaseTtl{0};                        ///< That it was granted for.
-  bool Rereads = false;                            ///< The picture is being read again.
+  bool IsRefreshing = false;                       ///< The snapshot is being read again.
   bool Stopped = false;
 };
 
--- a/src/cell/front_door.cpp
+++ b/src/cell/front_door.cpp
@@ -145,14 +145,14 @@
 Awaitable<FrontDoor::Known> FrontDoor::askScheduler(JobId Id, Milliseconds Timeout) {
   if (const auto Here = Lead.scheduler())
     co_return Known{std::string(Here->state(Id)), Here->owner(Id)};
-  const auto &Leader = View.picture().Leader;
+  const auto &Leader = View.snapshot().Leader;
   if (!Leader || Leader->Name == Settings.Member)
     co_return Known{};
   cell::JobStateRequest Question;
   Question.set_id(Id);
   Result<cell::JobStateReply> Reply = co_await Peers.JobState(Leader->Peers, Question, Timeout);
   if (!ok(Reply) || value(Reply).error() != 0) {
-    View.doubt();
+    View.refreshSoon();
     co_return Known{};
   }
   co_return Known{value(Reply).state(), value(Reply).organisation()};
@@ -200,7 +200,7 @@
 Awaitable<HttpResponse> FrontDoor::countWaiting(std::string Queue) {
   if (const auto Here = Lead.scheduler())
     co_return jsonResponse(HttpOk, Codec.EncodeWaiting(Here->waiting(Queue)));
-  const auto &Leader = View.picture().Leader;
+  const auto &Leader = View.snapshot().Leader;
   const Error Unknown{ErrorKind::NotOwner, "the scheduler can't be asked just now"};
   if (!Leader || Leader->Name == Settings.Member)
     co_return errorResponse(Unknown);
@@ -209,7 +209,7 @@
   Result<cell::WaitingReply> Reply =
       co_await Peers.Waiting(Leader->Peers, Question, SchedulerTimeout);
   if (!ok(Reply) || value(Reply).error() != 0) {
-    View.doubt();
+    View.refreshSoon();
     co_return errorResponse(Unknown);
   }
   co_return jsonResponse(HttpOk, Codec.EncodeWaiting(value(Reply).waiting()));
--- a/src/cell/histories_test.cpp
+++ b/src/cell/histories_test.cpp
@@ -44,9 +44,9 @@
   CellView View(Given.Io.get_executor(), Given.Store.ops(), Given.Settings, [] {});
   View.start();
   Given.play(30ms);
-  ASSERT_EQ(View.picture().Leader->Term, 3u);
+  ASSERT_EQ(View.snapshot().Leader->Term, 3u);
   Given.changeUnheard([&] { Given.Store.remove(std::string(LeaderKey)); });
-  EXPECT_FALSE(View.picture().Leader);
+  EXPECT_FALSE(View.snapshot().Leader);
   View.stop();
   Given.play(2s);
 }
--- a/src/cell/leadership.cpp
+++ b/src/cell/leadership.cpp
@@ -43,17 +43,17 @@
 
 std::set<std::string> Leadership::memberNames() const {
   std::set<std::string> Names{Tools.Settings.Member};
-  for (const auto &[Name, Info] : View.picture().Members)
+  for (const auto &[Name, Info] : View.snapshot().Members)
     Names.insert(Name);
   return Names;
 }
 
 void Leadership::viewChanged() {
-  if (View.picture().Leader)
-    noteTerm(Terms, View.picture().Leader->Term, Tools.Time.Now());
+  if (View.snapshot().Leader)
+    noteTerm(Terms, View.snapshot().Leader->Term, Tools.Time.Now());
   // A process that has just started looks at once whether the scheduler that it reads of is there.
   // When all lost power, the claim would wait for that one's box or the end of its lease.
-  if (!HasLooked && View.picture().Leader) {
+  if (!HasLooked && View.snapshot().Leader) {
     HasLooked = true;
     spawnLater(Tools.Where, suspect());
   }
@@ -74,14 +74,14 @@
 }
 
 bool Leadership::mayClaim() const {
-  const CellPicture &Now = View.picture();
+  const CellSnapshot &Now = View.snapshot();
   const bool Own = Now.Leader && Now.Leader->Name == Tools.Settings.Member;
   const bool Gone = Now.Leader && Now.Leader->Term == GoneTerm;
-  return Now.Known && (Now.LeaderRevision == 0 || Own || Gone);
+  return Now.IsLoaded && (Now.LeaderRevision == 0 || Own || Gone);
 }
 
 Awaitable<void> Leadership::suspect() {
-  const std::optional<Leader> Suspect = View.picture().Leader;
+  const std::optional<Leader> Suspect = View.snapshot().Leader;
   if (Probing || Stopped || !Suspect || Suspect->Name == Tools.Settings.Member)
     co_return;
   Probing = true;
@@ -101,7 +101,7 @@
 // The other members, the strongest first.
 std::vector<Member> Leadership::membersByPower() const {
   std::vector<Member> Others;
-  for (const auto &[Name, Info] : View.picture().Members)
+  for (const auto &[Name, Info] : View.snapshot().Members)
     if (Name != Tools.Settings.Member)
       Others.push_back(Info);
   std::stable_sort(Others.begin(), Others.end(),
@@ -125,10 +125,10 @@
 }
 
 bool Leadership::couldSchedule(uint64_t ToldGone) {
-  const std::optional<Leader> &Known = View.picture().Leader;
+  const std::optional<Leader> &Known = View.snapshot().Leader;
   if (ToldGone != 0 && Known && Known->Term == ToldGone && GoneTerm != ToldGone)
     spawnLater(Tools.Where, suspect());
-  return !Stopped && View.picture().Known && Links.StoreIsStraight();
+  return !Stopped && View.snapshot().IsLoaded && Links.StoreIsStraight();
 }
 
 // True if another process should schedule from now on, and is ready to.
@@ -162,7 +162,7 @@
 Milliseconds Leadership::turn() const {
   const Member Self{Tools.Settings.Member, Tools.Settings.Peers, Tools.Settings.Zone,
                     Tools.Settings.Power};
-  return claimTurn(View.picture().Members, Self) +
+  return claimTurn(View.snapshot().Members, Self) +
          (Links.StoreIsStraight() ? Milliseconds(0) : DetourTurn);
 }
 
@@ -175,7 +175,7 @@
     co_await sleepFor(turn());
     if (!mayClaim() || Stopped)
       continue;
-    Result<Claim> Mine = co_await claim(View.picture().LeaderRevision);
+    Result<Claim> Mine = co_await claim(View.snapshot().LeaderRevision);
     if (ok(Mine) && !Stopped)
       co_await serve(value(Mine));
     else
@@ -227,7 +227,7 @@
     if (AllMembers)
       View.setAllMembers(AllMembers->members());
   };
-  Around.Standing = [this]() -> const Roster & { return View.picture().Roster; };
+  Around.Standing = [this]() -> const Roster & { return View.snapshot().Roster; };
   AllMembers = std::make_shared<MemberList>(Tools.Where, Tools.Store, Tools.Settings,
                                             Mine.LeaderRevision, std::move(Around));
   AllMembers->start();
@@ -236,7 +236,7 @@
   const char *Why = "claim-lapsed";
   while (!Over && !Stopped) {
     co_await sleepFor(Tools.Settings.Timing.LeaderLease / RenewalsPerLife);
-    const auto &Seen = View.picture().Leader;
+    const auto &Seen = View.snapshot().Leader;
     if (Seen && Seen->Term > Mine.Term)
       break;
     Result<Done> Kept = co_await Tools.Store.RenewLease(Mine.Lease);
--- a/src/cell/leadership.h
+++ b/src/cell/leadership.h
@@ -30,7 +30,7 @@
 public:
   Leadership(const SchedulerDependencies &Tools, CellView &View, LeadershipLinks Links);
   void start();
-  /// The picture of the cell has changed.
+  /// The snapshot of the cell has changed.
   void viewChanged();
   /// Another configuration is in force here.
   void configurationChanged(sched::ConfigurationPtr Now);
--- a/src/cell/leadership_test.cpp
+++ b/src/cell/leadership_test.cpp
@@ -100,7 +100,7 @@
       co_return;
     Raced = true;
     Given.Store.put(std::string(LeaderKey), encodeLeader({"a", {"127.0.0.1", 2}, 1}), 0);
-    while (Given.View->picture().LeaderRevision == 0)
+    while (Given.View->snapshot().LeaderRevision == 0)
       co_await sleepFor(2ms);
   };
   Given.Lead->start();
@@ -117,7 +117,7 @@
   Given.Store.put(std::string(TermKey), "3", 0);
   Given.View->start();
   Given.Lead->start();
-  ASSERT_TRUE(Given.runUntil([&] { return Given.View->picture().Leader.has_value(); }));
+  ASSERT_TRUE(Given.runUntil([&] { return Given.View->snapshot().Leader.has_value(); }));
   spawnLater(Given.Io.get_executor(), Given.Lead->suspect());
   Given.Io.run_for(100ms);
   EXPECT_EQ(Given.leaderName(), "a"); // it listens
@@ -140,7 +140,7 @@
   Given.Lead->start();
   ASSERT_TRUE(Given.runUntil([&] { return !Given.ProbeTimes.empty(); }));
   Lead(4);
-  ASSERT_TRUE(Given.runUntil([&] { return Given.View->picture().Leader->Term == 4; }));
+  ASSERT_TRUE(Given.runUntil([&] { return Given.View->snapshot().Leader->Term == 4; }));
   spawnLater(Given.Io.get_executor(), Given.Lead->suspect());
   ASSERT_TRUE(Given.runUntil([&] { return Given.ProbeTimes.size() > 1; }));
   EXPECT_EQ(Given.ProbeTimes.front(), 150ms);
@@ -157,7 +157,7 @@
   Given.addMember("equal", 0.1);
   Given.View->start();
   Given.Lead->start();
-  ASSERT_TRUE(Given.runUntil([&] { return Given.View->picture().Leader.has_value(); }));
+  ASSERT_TRUE(Given.runUntil([&] { return Given.View->snapshot().Leader.has_value(); }));
   Given.PeerListens = false;
   spawnLater(Given.Io.get_executor(), Given.Lead->suspect());
   ASSERT_TRUE(Given.runUntil([&] { return !Given.Asked.empty(); }));
@@ -170,7 +170,7 @@
   Given.Store.put(std::string(TermKey), "3", 0);
   Given.View->start();
   Given.Lead->start();
-  ASSERT_TRUE(Given.runUntil([&] { return Given.View->picture().Leader.has_value(); }));
+  ASSERT_TRUE(Given.runUntil([&] { return Given.View->snapshot().Leader.has_value(); }));
   Given.Io.run_for(20ms);
   Given.PeerListens = false;
   EXPECT_TRUE(Given.Lead->couldSchedule(3));
