--- a/src/cell/front_door.cpp
+++ b/src/cell/caller_api.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // Routes and answers callers' requests.
-#include "cell/front_door.h"
+#include "cell/caller_api.h"
 
 #include "valveshelf/events.h"
 
@@ -33,7 +33,7 @@
 
 // A task, or a gang as a whole, that its organisation's maximum could never hold would wait for
 // ever: its caller is told at once, and it has not run.
-std::optional<Error> neverFits(const CellConfiguration &Config, const JobSpec &Spec) {
+std::optional<Error> exceedsMaximum(const CellConfiguration &Config, const JobSpec &Spec) {
   const Organisation *Of = findOrganisation(Config, Spec.Organisation);
   if (!Of)
     return std::nullopt;
@@ -50,7 +50,7 @@
 
 } // namespace
 
-HttpResponse FrontDoor::refusal(const Error &Why, const std::string &Job) const {
+HttpResponse CallerApi::refusal(const Error &Why, const std::string &Job) const {
   logEvent(events::CallRefused, {{"job", Job},
                                  {"kind", std::string(answerFor(Why.Kind).Name)},
                                  {"why", "\"" + Why.Detail + "\""}});
@@ -59,7 +59,7 @@
   return errorResponse(Why);
 }
 
-FrontDoor::FrontDoor(const CellSettings &Settings, Clock Time, CallerCodec Codec,
+CallerApi::CallerApi(const CellSettings &Settings, Clock Time, CallerCodec Codec,
                      KeyValueStore Store, const ConfigWatch &Config, CellView &View,
                      const Leadership &Lead, Intake &In, const CellLink &Peers,
                      std::function<std::chrono::seconds()> RetryAfterOutage)
@@ -67,47 +67,49 @@
       Config(Config), View(View), Lead(Lead), In(In), Peers(Peers),
       RetryAfterOutage(std::move(RetryAfterOutage)) {}
 
-Result<std::string> FrontDoor::identify(const Queue &To, const CallerRequest &Asked) const {
+Result<std::string> CallerApi::identify(const Queue &To, const CallerRequest &Request) const {
   if (To.Public || !Config.current()->Organisations)
     return std::string();
   if (Config.isTooOld())
     return Error{ErrorKind::StoreUnavailable, "keys can't be confirmed just now"};
-  const Organisation *Of = Asked.Key ? organisationOf(Config.callerKeys(), *Asked.Key) : nullptr;
+  const Organisation *Of =
+      Request.Key ? organisationOf(Config.callerKeys(), *Request.Key) : nullptr;
   if (!Of)
-    return Error{ErrorKind::UnknownKey, Asked.Key ? "the key is not in force"
-                                                  : "a key is needed here, one and well formed"};
+    return Error{ErrorKind::UnknownKey, Request.Key ? "the key is not in force"
+                                                    : "a key is needed here, one and well formed"};
   return Of->Name;
 }
 
-Awaitable<HttpResponse> FrontDoor::answer(CallerRequest Asked) {
+Awaitable<HttpResponse> CallerApi::answer(CallerRequest Request) {
   const ConfigurationPtr Now = Config.current();
   if (!Now)
     co_return refusal({ErrorKind::StoreUnavailable, "no configuration has been read yet"}, "-");
-  const std::string_view Path = pathOf(Asked.Target);
-  const Queue *To = findQueue(*Now, withoutPort(Asked.Host), Path);
+  const std::string_view Path = pathOf(Request.Target);
+  const Queue *To = findQueue(*Now, withoutPort(Request.Host), Path);
   if (!To)
     co_return errorResponse(
-        {ErrorKind::NotFound, "there is no queue at " + Asked.Host + Asked.Target});
+        {ErrorKind::NotFound, "there is no queue at " + Request.Host + Request.Target});
   const std::string Rest(Path.substr(To->PathPrefix.size()));
-  Result<std::string> Caller = identify(*To, Asked);
+  Result<std::string> Caller = identify(*To, Request);
   if (!ok(Caller))
     co_return refusal(error(Caller), Rest);
-  if (Rest.empty() && Asked.Method == "GET")
+  if (Rest.empty() && Request.Method == "GET")
     co_return co_await countWaiting(To->Name);
   const auto Id = parseJobId(Rest);
   if (!Id)
     co_return errorResponse(
         {ErrorKind::BadRequest, "the path does not end in 16 hexadecimal digits"});
-  if (Asked.Method == "POST")
-    co_return co_await submit(*To, *Id, std::move(value(Caller)), std::move(Asked.Body));
-  if (Asked.Method == "GET")
+  if (Request.Method == "POST")
+    co_return co_await submit(*To, *Id, std::move(value(Caller)), std::move(Request.Body));
+  if (Request.Method == "GET")
     co_return co_await state(*Id, std::move(value(Caller)));
-  if (Asked.Method == "DELETE")
+  if (Request.Method == "DELETE")
     co_return co_await cancel(*Id, std::move(value(Caller)));
-  co_return errorResponse({ErrorKind::BadRequest, "there is no method " + Asked.Method + " here"});
+  co_return errorResponse(
+      {ErrorKind::BadRequest, "there is no method " + Request.Method + " here"});
 }
 
-Awaitable<HttpResponse> FrontDoor::submit(const Queue &To, JobId Id, std::string Caller,
+Awaitable<HttpResponse> CallerApi::submit(const Queue &To, JobId Id, std::string Caller,
                                           std::string Body) {
   Result<JobSpec> Read = Codec.DecodeSubmission(Body);
   if (!ok(Read))
@@ -115,8 +117,8 @@
   JobSpec &Spec = value(Read);
   Spec.Id = Id;
   Spec.Organisation = std::move(Caller);
-  if (std::optional<Error> Never = neverFits(*Config.current(), Spec))
-    co_return refusal(*Never, jobIdText(Id));
+  if (std::optional<Error> Excess = exceedsMaximum(*Config.current(), Spec))
+    co_return refusal(*Excess, jobIdText(Id));
   Spec.Queue = To.Name;
   Spec.Service = To.Service;
   Spec.Priority = To.Priority;
@@ -125,40 +127,40 @@
   Spec.Target = To.Target;
   Spec.Advice = To.Advice;
   Spec.AcceptedAt = Time.Wall();
-  const TimePoint Came = Time.Now();
-  const std::string Mine = Spec.Organisation;
-  Result<Done> Kept = co_await In.submit(std::move(Spec));
+  const TimePoint ReceivedAt = Time.Now();
+  const std::string Submitter = Spec.Organisation;
+  Result<Done> Submitted = co_await In.submit(std::move(Spec));
   // "It will never run" would be untrue of a job that was handed in before and is handed in again
   // while the store is away. The scheduler knows only jobs that are kept.
-  if (!ok(Kept) && error(Kept).Kind == ErrorKind::StoreUnavailable) {
-    const Known There = co_await askScheduler(Id, RefusalTimeout);
-    if (!There.State.empty() && mayUse(Mine, There.Organisation))
-      Kept = Done{};
+  if (!ok(Submitted) && error(Submitted).Kind == ErrorKind::StoreUnavailable) {
+    const JobStatus Status = co_await askScheduler(Id, RefusalTimeout);
+    if (!Status.State.empty() && mayAccess(Submitter, Status.Organisation))
+      Submitted = Done{};
   }
-  if (!ok(Kept))
-    co_return refusal(error(Kept), jobIdText(Id));
-  const auto Took = std::chrono::duration_cast<Milliseconds>(Time.Now() - Came);
+  if (!ok(Submitted))
+    co_return refusal(error(Submitted), jobIdText(Id));
+  const auto Took = std::chrono::duration_cast<Milliseconds>(Time.Now() - ReceivedAt);
   logEvent(events::JobKept, {{"job", jobIdText(Id)}, {"ms", std::to_string(Took.count())}});
   co_return jsonResponse(HttpOk, "{}");
 }
 
-Awaitable<FrontDoor::Known> FrontDoor::askScheduler(JobId Id, Milliseconds Timeout) {
-  if (const auto Here = Lead.scheduler())
-    co_return Known{std::string(Here->state(Id)), Here->owner(Id)};
+Awaitable<CallerApi::JobStatus> CallerApi::askScheduler(JobId Id, Milliseconds Timeout) {
+  if (const auto LocalScheduler = Lead.scheduler())
+    co_return JobStatus{std::string(LocalScheduler->state(Id)), LocalScheduler->owner(Id)};
   const auto &Leader = View.snapshot().Leader;
   if (!Leader || Leader->Name == Settings.Member)
-    co_return Known{};
+    co_return JobStatus{};
   cell::JobStateRequest Question;
   Question.set_id(Id);
   Result<cell::JobStateReply> Reply = co_await Peers.JobState(Leader->Peers, Question, Timeout);
   if (!ok(Reply) || value(Reply).error() != 0) {
     View.refreshSoon();
-    co_return Known{};
+    co_return JobStatus{};
   }
-  co_return Known{value(Reply).state(), value(Reply).organisation()};
+  co_return JobStatus{value(Reply).state(), value(Reply).organisation()};
 }
 
-Awaitable<Result<FrontDoor::Known>> FrontDoor::readState(JobId Id) {
+Awaitable<Result<CallerApi::JobStatus>> CallerApi::readState(JobId Id) {
   Result<KeyValue> Read = co_await Store.Get(jobKey(Id));
   if (!ok(Read))
     co_return error(Read);
@@ -167,14 +169,14 @@
   Result<StoredJob> Stored = decodeJob(value(Read).Value);
   if (!ok(Stored))
     co_return error(Stored);
-  co_return Known{std::string(phaseName(value(Stored).Phase)), value(Stored).Spec.Organisation};
+  co_return JobStatus{std::string(phaseName(value(Stored).Phase)), value(Stored).Spec.Organisation};
 }
 
-Awaitable<HttpResponse> FrontDoor::state(JobId Id, std::string Caller) {
-  Result<Known> Found = co_await askScheduler(Id, SchedulerTimeout);
+Awaitable<HttpResponse> CallerApi::state(JobId Id, std::string Caller) {
+  Result<JobStatus> Found = co_await askScheduler(Id, SchedulerTimeout);
   if (value(Found).State.empty())
     Found = co_await readState(Id);
-  if (ok(Found) && !mayUse(Caller, value(Found).Organisation))
+  if (ok(Found) && !mayAccess(Caller, value(Found).Organisation))
     co_return refusal({ErrorKind::Forbidden, "the job is another organisation's"}, jobIdText(Id));
   if (ok(Found))
     co_return jsonResponse(HttpOk, Codec.EncodeState(value(Found).State));
@@ -185,7 +187,7 @@
   co_return Gone;
 }
 
-Awaitable<HttpResponse> FrontDoor::cancel(JobId Id, std::string Caller) {
+Awaitable<HttpResponse> CallerApi::cancel(JobId Id, std::string Caller) {
   Result<Done> Marked = co_await In.cancel(Id, std::move(Caller));
   if (ok(Marked)) {
     logEvent(events::JobCancelled, {{"job", jobIdText(Id)}});
@@ -197,9 +199,9 @@
   co_return Answer;
 }
 
-Awaitable<HttpResponse> FrontDoor::countWaiting(std::string Queue) {
-  if (const auto Here = Lead.scheduler())
-    co_return jsonResponse(HttpOk, Codec.EncodeWaiting(Here->waiting(Queue)));
+Awaitable<HttpResponse> CallerApi::countWaiting(std::string Queue) {
+  if (const auto LocalScheduler = Lead.scheduler())
+    co_return jsonResponse(HttpOk, Codec.EncodeWaiting(LocalScheduler->waiting(Queue)));
   const auto &Leader = View.snapshot().Leader;
   const Error Unknown{ErrorKind::NotOwner, "the scheduler can't be asked just now"};
   if (!Leader || Leader->Name == Settings.Member)
@@ -215,22 +217,22 @@
   co_return jsonResponse(HttpOk, Codec.EncodeWaiting(value(Reply).waiting()));
 }
 
-cell::JobStateReply FrontDoor::jobState(const cell::JobStateRequest &Asked) const {
+cell::JobStateReply CallerApi::jobState(const cell::JobStateRequest &Request) const {
   cell::JobStateReply Reply;
-  const auto Here = Lead.scheduler();
-  if (Here) {
-    Reply.set_state(std::string(Here->state(Asked.id())));
-    Reply.set_organisation(Here->owner(Asked.id()));
+  const auto LocalScheduler = Lead.scheduler();
+  if (LocalScheduler) {
+    Reply.set_state(std::string(LocalScheduler->state(Request.id())));
+    Reply.set_organisation(LocalScheduler->owner(Request.id()));
   } else
     Reply.set_error(static_cast<int>(ErrorKind::NotOwner));
   return Reply;
 }
 
-cell::WaitingReply FrontDoor::waiting(const cell::WaitingRequest &Asked) const {
+cell::WaitingReply CallerApi::waiting(const cell::WaitingRequest &Request) const {
   cell::WaitingReply Reply;
-  const auto Here = Lead.scheduler();
-  if (Here)
-    Reply.set_waiting(Here->waiting(Asked.queue()));
+  const auto LocalScheduler = Lead.scheduler();
+  if (LocalScheduler)
+    Reply.set_waiting(LocalScheduler->waiting(Request.queue()));
   else
     Reply.set_error(static_cast<int>(ErrorKind::NotOwner));
   return Reply;
--- a/src/cell/front_door.h
+++ b/src/cell/caller_api.h
@@ -31,33 +31,33 @@
 };
 
 /// Lives on one strand.
-class FrontDoor {
+class CallerApi {
 public:
-  FrontDoor(const CellSettings &Settings, Clock Time, CallerCodec Codec, KeyValueStore Store,
+  CallerApi(const CellSettings &Settings, Clock Time, CallerCodec Codec, KeyValueStore Store,
             const ConfigWatch &Config, CellView &View, const Leadership &Lead, Intake &In,
             const CellLink &Peers, std::function<std::chrono::seconds()> RetryAfterOutage);
 
-  Awaitable<HttpResponse> answer(CallerRequest Asked);
+  Awaitable<HttpResponse> answer(CallerRequest Request);
   /// This process's answers to its peers, if it schedules.
-  cell::JobStateReply jobState(const cell::JobStateRequest &Asked) const;
-  cell::WaitingReply waiting(const cell::WaitingRequest &Asked) const;
+  cell::JobStateReply jobState(const cell::JobStateRequest &Request) const;
+  cell::WaitingReply waiting(const cell::WaitingRequest &Request) const;
 
 private:
   /// What the scheduler says of a job; an empty state: it can't be asked or does not know the job.
-  struct Known {
+  struct JobStatus {
     std::string State;
     std::string Organisation;
   };
   HttpResponse refusal(const Error &Why, const std::string &Job) const;
   /// Whom the caller speaks for; empty where no key is needed.
-  Result<std::string> identify(const sched::Queue &To, const CallerRequest &Asked) const;
+  Result<std::string> identify(const sched::Queue &To, const CallerRequest &Request) const;
   Awaitable<HttpResponse> submit(const sched::Queue &To, sched::JobId Id, std::string Caller,
                                  std::string Body);
   Awaitable<HttpResponse> state(sched::JobId Id, std::string Caller);
   Awaitable<HttpResponse> cancel(sched::JobId Id, std::string Caller);
   Awaitable<HttpResponse> countWaiting(std::string Queue);
-  Awaitable<Known> askScheduler(sched::JobId Id, Milliseconds Timeout);
-  Awaitable<Result<Known>> readState(sched::JobId Id);
+  Awaitable<JobStatus> askScheduler(sched::JobId Id, Milliseconds Timeout);
+  Awaitable<Result<JobStatus>> readState(sched::JobId Id);
 
   const CellSettings &Settings;
   const Clock Time;
--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -2,9 +2,9 @@
 // Wiring of an entry process, its readiness and its planned stop.
 #include "valveshelf/cell_process.h"
 
+#include "cell/caller_api.h"
 #include "cell/cell_view.h"
 #include "cell/config_watch.h"
-#include "cell/front_door.h"
 #include "cell/intake.h"
 #include "cell/leadership.h"
 #include "valveshelf/cell_link.h"
@@ -62,10 +62,10 @@
                configLinks()),
         In(
             Where, Store, Time, Settings, [this] { return Path.isSilent(); },
-            [this](IntakeNews News) { announce(std::move(News)); }),
+            [this](IntakeUpdate News) { announce(std::move(News)); }),
         Lead(schedulerTools(), View, leadershipLinks()),
-        Door(Settings, Time, callerCodec(), Store, Config, View, Lead, In, Peers,
-             [this] { return Path.retryAfter(); }),
+        Api(Settings, Time, callerCodec(), Store, Config, View, Lead, In, Peers,
+            [this] { return Path.retryAfter(); }),
         Callers(Where, Settings.Callers, serverLimits(),
                 [this](HttpExchange &E) { return serveCaller(E); }),
         Readiness(Where, Settings.Readiness, serverLimits(),
@@ -273,10 +273,10 @@
     CellHandlers Answers;
     Answers.Advise = [this](cell::AdviseRequest Asked) { return advise(std::move(Asked)); };
     Answers.JobState = [this](cell::JobStateRequest Asked) -> Awaitable<cell::JobStateReply> {
-      co_return Door.jobState(Asked);
+      co_return Api.jobState(Asked);
     };
     Answers.Waiting = [this](cell::WaitingRequest Asked) -> Awaitable<cell::WaitingReply> {
-      co_return Door.waiting(Asked);
+      co_return Api.waiting(Asked);
     };
     Answers.Explain = [this](cell::ExplainRequest Asked) -> Awaitable<cell::ExplainReply> {
       cell::ExplainReply Reply;
@@ -302,7 +302,7 @@
   }
 
   // What has become durable here is told to the scheduler; its watch would bring it as well.
-  void announce(IntakeNews News) {
+  void announce(IntakeUpdate News) {
     if (const auto Here = Lead.scheduler()) {
       for (const std::string &Job : News.Jobs)
         Here->announceJob(Job, News.Revision);
@@ -315,7 +315,7 @@
       spawnLater(Where, tell(Leader->Peers, std::move(News)));
   }
 
-  Awaitable<void> tell(Endpoint To, IntakeNews News) {
+  Awaitable<void> tell(Endpoint To, IntakeUpdate News) {
     cell::AnnounceRequest Message;
     Message.set_revision(News.Revision);
     Message.set_config_version(Config.version());
@@ -407,7 +407,7 @@
         callerKey(Exchange.headers(), From.CallerKeyHeader), std::move(value(Body))};
     // On the strand of this process, where all state lives.
     const TimePoint Came = Time.Now();
-    HttpResponse Answer = co_await boost::asio::co_spawn(Where, Door.answer(std::move(Asked)),
+    HttpResponse Answer = co_await boost::asio::co_spawn(Where, Api.answer(std::move(Asked)),
                                                          boost::asio::use_awaitable);
     Metrics.observe(metrics::CallSeconds, Time.Now() - Came);
     Metrics.count(metrics::Calls, Exchange.method() + " " + std::to_string(Answer.Status));
@@ -488,7 +488,7 @@
   ConfigWatch Config;
   Intake In;
   Leadership Lead;
-  FrontDoor Door;
+  CallerApi Api;
   HttpServer Callers;
   HttpServer Readiness;
   HttpServer Operators;
--- a/src/cell/intake.cpp
+++ b/src/cell/intake.cpp
@@ -11,39 +11,39 @@
 
 namespace {
 // Transactions in flight at a time; with fewer, a slow store would hold callers up in line.
-constexpr int MaxWriting = 4;
+constexpr int MaxWritesInFlight = 4;
 // A condition and a value for each job.
 constexpr size_t MaxBatch = MaxTransactionRows / 2;
 // Bytes of one transaction; keeps a call short on a small link.
 constexpr size_t MaxBatchBytes = 64 * 1024;
 // After a write without an answer, before it is tried again.
 constexpr Milliseconds RetryPause{40};
-const Error NotYours{ErrorKind::Forbidden, "another organisation's job has this id"};
+const Error WrongOrganisation{ErrorKind::Forbidden, "another organisation's job has this id"};
 } // namespace
 
 Intake::Intake(Executor Where, KeyValueStore Store, Clock Time, const CellSettings &Settings,
-               std::function<bool()> IsSilent, std::function<void(IntakeNews)> Announce)
+               std::function<bool()> IsStoreSilent, std::function<void(IntakeUpdate)> Announce)
     : Where(Where), Store(std::move(Store)), Time(std::move(Time)), Settings(Settings),
-      IsSilent(std::move(IsSilent)), Announce(std::move(Announce)) {}
+      IsStoreSilent(std::move(IsStoreSilent)), Announce(std::move(Announce)) {}
 
 Awaitable<Result<Done>> Intake::submit(JobSpec Spec) {
   // Refused before anything is written: the caller may try elsewhere, and nothing will run.
-  if (IsSilent())
+  if (IsStoreSilent())
     co_return Error{ErrorKind::StoreUnavailable, "the store does not answer"};
-  auto Mine = std::make_shared<Pending>(Where);
-  Mine->Id = Spec.Id;
-  Mine->Organisation = Spec.Organisation;
-  Mine->Bytes = encodeJob(Spec);
-  Mine->Deadline = Time.Now() + Settings.Timing.SubmitLimit;
-  Waiting.push_back(Mine);
+  auto Submission = std::make_shared<Pending>(Where);
+  Submission->Id = Spec.Id;
+  Submission->Organisation = Spec.Organisation;
+  Submission->Bytes = encodeJob(Spec);
+  Submission->Deadline = Time.Now() + Settings.Timing.SubmitLimit;
+  Waiting.push_back(Submission);
   dispatch();
-  while (!Mine->Decided)
-    co_await Mine->Wake.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
-  co_return *Mine->Decided;
+  while (!Submission->Outcome)
+    co_await Submission->Wake.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
+  co_return *Submission->Outcome;
 }
 
 void Intake::dispatch() {
-  while (Writing < MaxWriting && !Waiting.empty()) {
+  while (WritesInFlight < MaxWritesInFlight && !Waiting.empty()) {
     std::vector<PendingPtr> Batch;
     size_t Bytes = 0;
     while (!Waiting.empty() && Batch.size() < MaxBatch && Bytes < MaxBatchBytes) {
@@ -51,13 +51,13 @@
       Batch.push_back(Waiting.front());
       Waiting.pop_front();
     }
-    ++Writing;
+    ++WritesInFlight;
     spawnLater(Where, write(std::move(Batch)));
   }
 }
 
-void Intake::decide(const PendingPtr &Which, Result<Done> What) {
-  Which->Decided = std::move(What);
+void Intake::complete(const PendingPtr &Which, Result<Done> What) {
+  Which->Outcome = std::move(What);
   Which->Wake.cancel();
 }
 
@@ -68,9 +68,10 @@
     if (Which->MayBeWritten && Time.Now() < Which->Deadline)
       Waiting.push_back(Which);
     else if (Which->MayBeWritten)
-      decide(Which, Error{ErrorKind::OutcomeUnknown, "the store did not confirm the job in time"});
+      complete(Which,
+               Error{ErrorKind::OutcomeUnknown, "the store did not confirm the job in time"});
     else
-      decide(Which, Error{ErrorKind::StoreUnavailable, Why.Detail});
+      complete(Which, Error{ErrorKind::StoreUnavailable, Why.Detail});
   }
 }
 
@@ -86,41 +87,41 @@
       co_await sleepFor(RetryPause);
     retryOrGiveUp(Batch, error(Written));
   } else if (value(Written).Applied) {
-    IntakeNews News;
-    News.Revision = value(Written).Revision;
+    IntakeUpdate Update;
+    Update.Revision = value(Written).Revision;
     for (const PendingPtr &Which : Batch) {
-      decide(Which, Done{});
-      News.Jobs.push_back(std::move(Which->Bytes));
+      complete(Which, Done{});
+      Update.Jobs.push_back(std::move(Which->Bytes));
     }
-    Announce(std::move(News));
+    Announce(std::move(Update));
   } else {
     // Jobs that stand there already were handed in before; the others are tried again.
     std::map<std::string, KeyValue> CurrentItems;
     for (KeyValue &Item : value(Written).CurrentItems)
       CurrentItems[Item.Key] = Item;
     for (const PendingPtr &Which : Batch) {
-      const KeyValue &There = CurrentItems[jobKey(Which->Id)];
-      const uint64_t Revision = There.Revision;
+      const KeyValue &Existing = CurrentItems[jobKey(Which->Id)];
+      const uint64_t Revision = Existing.Revision;
       if (Revision == 0) {
         Waiting.push_back(Which);
         continue;
       }
-      if (Result<StoredJob> Stored = decodeJob(There.Value);
-          ok(Stored) && !mayUse(Which->Organisation, value(Stored).Spec.Organisation)) {
-        decide(Which, NotYours);
+      if (Result<StoredJob> Stored = decodeJob(Existing.Value);
+          ok(Stored) && !mayAccess(Which->Organisation, value(Stored).Spec.Organisation)) {
+        complete(Which, WrongOrganisation);
         continue;
       }
-      decide(Which, Done{});
+      complete(Which, Done{});
       // This process's own write, whose answer was lost: nobody has told the scheduler yet.
       if (Which->MayBeWritten)
         Announce({{std::move(Which->Bytes)}, Revision, {}});
     }
   }
-  --Writing;
+  --WritesInFlight;
   dispatch();
 }
 
-bool mayUse(const std::string &Caller, const std::string &Owner) {
+bool mayAccess(const std::string &Caller, const std::string &Owner) {
   return Owner.empty() || Caller == Owner;
 }
 
@@ -136,8 +137,8 @@
       Result<StoredJob> Stored = decodeJob(value(Read).Value);
       if (!ok(Stored))
         co_return error(Stored);
-      if (!mayUse(Organisation, value(Stored).Spec.Organisation))
-        co_return NotYours;
+      if (!mayAccess(Organisation, value(Stored).Spec.Organisation))
+        co_return WrongOrganisation;
       if (value(Stored).Phase == JobPhase::Cancelled)
         co_return Done{};
       if (value(Stored).Phase != JobPhase::Live)
--- a/src/cell/intake.h
+++ b/src/cell/intake.h
@@ -15,7 +15,7 @@
 namespace valveshelf {
 
 /// Told of what has just become durable.
-struct IntakeNews {
+struct IntakeUpdate {
   std::vector<std::string> Jobs; ///< Their records.
   uint64_t Revision = 0;         ///< Of the jobs' keys.
   std::vector<sched::JobId> Cancelled;
@@ -23,14 +23,14 @@
 
 /// True if a caller of organisation \p Caller may see and change work of \p Owner. Work that was
 /// accepted without a key is anybody's.
-bool mayUse(const std::string &Caller, const std::string &Owner);
+bool mayAccess(const std::string &Caller, const std::string &Owner);
 
 /// Lives on one strand; all calls come from there.
 class Intake {
 public:
-  /// \p IsSilent: the store does not answer; what is written now has no certain outcome.
+  /// \p IsStoreSilent: the store does not answer; what is written now has no certain outcome.
   Intake(Executor Where, KeyValueStore Store, Clock Time, const CellSettings &Settings,
-         std::function<bool()> IsSilent, std::function<void(IntakeNews)> Announce);
+         std::function<bool()> IsStoreSilent, std::function<void(IntakeUpdate)> Announce);
 
   /// Returns once the job is durable. StoreUnavailable: it surely is not and never will be.
   /// OutcomeUnknown: it may be, or may still become so. Forbidden: another organisation's job has
@@ -47,7 +47,7 @@
     std::string Bytes;
     TimePoint Deadline{};
     bool MayBeWritten = false; ///< A write of it got no answer.
-    std::optional<Result<Done>> Decided;
+    std::optional<Result<Done>> Outcome;
     SteadyTimer Wake;
     explicit Pending(Executor Where) : Wake(Where, TimePoint::max()) {}
   };
@@ -55,17 +55,17 @@
 
   void dispatch();
   Awaitable<void> write(std::vector<PendingPtr> Batch);
-  void decide(const PendingPtr &Which, Result<Done> What);
+  void complete(const PendingPtr &Which, Result<Done> What);
   void retryOrGiveUp(const std::vector<PendingPtr> &Batch, const Error &Why);
 
   const Executor Where;
   const KeyValueStore Store;
   const Clock Time;
   const CellSettings &Settings;
-  const std::function<bool()> IsSilent;
-  const std::function<void(IntakeNews)> Announce;
+  const std::function<bool()> IsStoreSilent;
+  const std::function<void(IntakeUpdate)> Announce;
   std::deque<PendingPtr> Waiting;
-  int Writing = 0; ///< Transactions in flight.
+  int WritesInFlight = 0; ///< Transactions in flight.
 };
 
 } // namespace valveshelf
