--- a/src/cell/order_pace.h
+++ b/src/cell/adaptive_timeout.h
@@ -11,18 +11,18 @@
 /// link. Where few orders get no answer the fault is with their workers, and waiting longer for
 /// them would only put off the next try.
 /// Invariant: Least <= Timeout <= Most.
-struct OrderPace {
-  Milliseconds Least{150}; ///< The timeout of a calm link.
-  Milliseconds Most{1000}; ///< Of the slowest; a quick check's whole time is about twice as long.
-  Milliseconds Timeout = Least;
-  int Orders = 0;      ///< In the window under way,
-  int Lost = 0;        ///< and those of them that got no answer.
+struct AdaptiveTimeout {
+  Milliseconds Min{150};  ///< The timeout of a calm link.
+  Milliseconds Max{1000}; ///< Of the slowest; a quick check's whole time is about twice as long.
+  Milliseconds Current = Min;
+  int Calls = 0;       ///< In the window under way,
+  int Unanswered = 0;  ///< and those of them that got no answer.
   int CalmWindows = 0; ///< In a row, before it.
 };
 
 /// Notes what became of an order. At the end of a window of orders the time doubles if more than
 /// one in eight got no answer; it halves after a number of windows without that. Otherwise a link
 /// that stands full is filled further with orders that are given up too early and sent again.
-void noteOrder(OrderPace &Pace, bool Answered);
+void noteCall(AdaptiveTimeout &CallTimeout, bool Answered);
 
 } // namespace valveshelf
--- /dev/null
+++ b/src/cell/adaptive_timeout_test.cpp
@@ -0,0 +1,70 @@
+// SPDX-License-Identifier: Apache-2.0
+// The time that orders wait for their answers, on calm and on full links.
+#include "cell/adaptive_timeout.h"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <queue>
+
+namespace valveshelf {
+namespace {
+using namespace std::chrono_literals;
+
+void note(AdaptiveTimeout &CallTimeout, int Calls, int LostOneIn) {
+  for (int I = 0; I < Calls; ++I)
+    noteCall(CallTimeout, LostOneIn == 0 || I % LostOneIn != 0);
+}
+
+TEST(AdaptiveTimeout, IgnoresFewUnansweredCalls) {
+  AdaptiveTimeout CallTimeout;
+  note(CallTimeout, 320, 16);
+  EXPECT_EQ(CallTimeout.Current, 150ms);
+}
+
+TEST(AdaptiveTimeout, GrowsWithManyUnansweredCalls) {
+  AdaptiveTimeout CallTimeout;
+  note(CallTimeout, 320, 4);
+  EXPECT_EQ(CallTimeout.Current, 1000ms);
+  note(CallTimeout, 320, 0);
+  EXPECT_EQ(CallTimeout.Current, 1000ms); // not at once
+  note(CallTimeout, 2000, 0);
+  EXPECT_EQ(CallTimeout.Current, 150ms);
+}
+
+// Waves of 60 orders of 700 bytes each 300 ms, through a link of 250 kB/s; an order without an
+// answer in time is followed by a stop, a look and the same order again. Returns the orders given
+// up.
+int countTimeouts(bool Adapts) {
+  constexpr double BytesPerMs = 250;
+  constexpr double CallBytes = 700;
+  constexpr double FollowUpBytes = 1200;
+  AdaptiveTimeout CallTimeout;
+  double FreeAt = 0; // when the link has sent what waits for it
+  int Timeouts = 0;
+  int Again = 0;
+  for (double Now = 0; Now < 20000; Now += 300) {
+    const int Burst = 60 + Again;
+    Again = 0;
+    for (int I = 0; I < Burst; ++I) {
+      FreeAt = std::max(FreeAt, Now) + CallBytes / BytesPerMs;
+      const bool InTime = FreeAt - Now <= static_cast<double>(CallTimeout.Current.count());
+      if (Adapts)
+        noteCall(CallTimeout, InTime);
+      if (InTime)
+        continue;
+      ++Timeouts;
+      ++Again;
+      FreeAt += FollowUpBytes / BytesPerMs;
+    }
+  }
+  return Timeouts;
+}
+
+TEST(AdaptiveTimeout, PreventsRepeatedTimeoutsOnSaturatedLink) {
+  EXPECT_GT(countTimeouts(false), 1000);
+  EXPECT_LT(countTimeouts(true), 100);
+}
+
+} // namespace
+} // namespace valveshelf
--- a/src/cell/advice_lanes.cpp
+++ b/src/cell/advice_lanes.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 // Longer questions count as heavy.
-constexpr Milliseconds Heavy{150};
+constexpr Milliseconds LongRequestThreshold{150};
 // Lanes that heavy questions leave to others. Short ones go first, so that beyond these they wait
 // for the next lane that falls free, which is soon where there are many. More of them kept back
 // would stand idle while long questions wait.
-constexpr size_t LightLanes = 2;
+constexpr size_t ShortRequestLanes = 2;
 // A lane that failed is left alone for this time; its question may still be served there. The time
 // doubles with each further failure: a box that has lost power stays on the list for a while.
-constexpr Milliseconds LanePause{700};
-constexpr int MostDoublings = 2;
+constexpr Milliseconds LaneBackoff{700};
+constexpr int MaxBackoffDoublings = 2;
 // Added to the expected time of a question.
-constexpr Milliseconds Slack{400};
+constexpr Milliseconds TimeoutSlack{400};
 constexpr int MaxTries = 3;
 } // namespace
 
@@ -33,9 +33,9 @@
   dispatch();
 }
 
-void AdviceLanes::add(Effects::Ask Question) {
-  const Entry Place{Question.Late, Question.Priority, ++NextNumber};
-  Queue.emplace(Place, Waiting{std::move(Question), Time.Now(), 0});
+void AdviceLanes::add(Effects::Ask Request) {
+  const QueueKey Place{Request.Late, Request.Priority, ++NextNumber};
+  Queue.emplace(Place, PendingRequest{std::move(Request), Time.Now(), 0});
   dispatch();
 }
 
@@ -45,10 +45,12 @@
   Queue.clear();
 }
 
-bool AdviceLanes::isHeavy(const Effects::Ask &Question) const { return Question.Expected > Heavy; }
+bool AdviceLanes::isLong(const Effects::Ask &Request) const {
+  return Request.Expected > LongRequestThreshold;
+}
 
-size_t AdviceLanes::heavyLimit() const {
-  return Lanes.size() > LightLanes ? Lanes.size() - LightLanes : 1;
+size_t AdviceLanes::maxLongInFlight() const {
+  return Lanes.size() > ShortRequestLanes ? Lanes.size() - ShortRequestLanes : 1;
 }
 
 // One that is known to answer, before those of which nothing is known. In a large fleet with few
@@ -56,9 +58,9 @@
 std::map<std::string, AdviceLanes::Lane>::iterator AdviceLanes::freeLane() {
   auto Best = Lanes.end();
   for (auto At = Lanes.begin(); At != Lanes.end(); ++At) {
-    if (At->second.Busy || At->second.NotBefore > Time.Now())
+    if (At->second.Busy || At->second.BackoffUntil > Time.Now())
       continue;
-    if (At->second.HasAnswered)
+    if (At->second.LastSucceeded)
       return At;
     if (Best == Lanes.end() || At->second.FailuresInARow < Best->second.FailuresInARow)
       Best = At;
@@ -72,37 +74,38 @@
     const auto Free = freeLane();
     if (Free == Lanes.end())
       return;
-    const bool IsHeavy = isHeavy(Next->second.Question);
-    if (IsHeavy && HeavyNow >= heavyLimit()) {
+    const bool IsLong = isLong(Next->second.Request);
+    if (IsLong && LongInFlight >= maxLongInFlight()) {
       ++Next;
       continue;
     }
-    HeavyNow += IsHeavy ? 1 : 0;
+    LongInFlight += IsLong ? 1 : 0;
     Free->second.Busy = true;
     spawnLater(Where, ask(Free->first, std::move(Next->second)));
     Next = Queue.erase(Next);
   }
 }
 
-Awaitable<void> AdviceLanes::ask(std::string Name, Waiting What) {
-  const auto Lives = Alive;
-  const Milliseconds Timeout = What.Question.Expected * 3 / 2 + Slack;
-  Result<Advice> Answer = co_await Ask(Name, What.Question.Step, What.Question.Workers, Timeout);
-  if (!*Lives)
+Awaitable<void> AdviceLanes::ask(std::string Name, PendingRequest What) {
+  const auto StillAlive = Alive;
+  const Milliseconds Timeout = What.Request.Expected * 3 / 2 + TimeoutSlack;
+  Result<Advice> Answer = co_await Ask(Name, What.Request.Step, What.Request.Workers, Timeout);
+  if (!*StillAlive)
     co_return;
-  HeavyNow -= isHeavy(What.Question) ? 1 : 0;
+  LongInFlight -= isLong(What.Request) ? 1 : 0;
   Lane &Used = Lanes[Name];
   Used.Busy = false;
-  Used.HasAnswered = ok(Answer);
+  Used.LastSucceeded = ok(Answer);
   if (ok(Answer))
     Used.FailuresInARow = 0;
   else
-    Used.NotBefore = Time.Now() + LanePause * (1 << std::min(Used.FailuresInARow++, MostDoublings));
+    Used.BackoffUntil =
+        Time.Now() + LaneBackoff * (1 << std::min(Used.FailuresInARow++, MaxBackoffDoublings));
   if (!ok(Answer) && ++What.Tries < MaxTries && Lanes.size() > 1) {
-    const Entry Place{What.Question.Late, What.Question.Priority, ++NextNumber};
+    const QueueKey Place{What.Request.Late, What.Request.Priority, ++NextNumber};
     Queue.emplace(Place, std::move(What));
   } else {
-    OnAnswer(What.Question, Answer, Name, Time.Now() - What.Since);
+    OnAnswer(What.Request, Answer, Name, Time.Now() - What.AddedAt);
   }
   dispatch();
 }
--- a/src/cell/advice_lanes.h
+++ b/src/cell/advice_lanes.h
@@ -15,7 +15,7 @@
 
 namespace valveshelf {
 
-/// Lives on one strand; all calls come from there.
+/// StillAlive on one strand; all calls come from there.
 class AdviceLanes {
 public:
   /// Asks through the member \p Lane.
@@ -29,44 +29,44 @@
   AdviceLanes(Executor Where, Clock Time, AskThrough Ask, Answered OnAnswer);
   /// The members that may be asked through.
   void setLanes(const std::set<std::string> &Names);
-  void add(sched::Effects::Ask Question);
+  void add(sched::Effects::Ask Request);
   void stop();
 
 private:
   struct Lane {
     bool Busy = false;
-    TimePoint NotBefore{}; ///< It failed; left alone until then.
+    TimePoint BackoffUntil{}; ///< It failed; left alone until then.
     int FailuresInARow = 0;
-    bool HasAnswered = false; ///< Its last question was answered.
+    bool LastSucceeded = false; ///< Its last question was answered.
   };
-  struct Entry {
+  struct QueueKey {
     bool Late = false;
     int Priority = 0;
     uint64_t Number = 0;
-    friend bool operator<(const Entry &A, const Entry &B) {
+    friend bool operator<(const QueueKey &A, const QueueKey &B) {
       return std::tie(A.Late, A.Priority, A.Number) < std::tie(B.Late, B.Priority, B.Number);
     }
   };
-  struct Waiting {
-    sched::Effects::Ask Question;
-    TimePoint Since{};
+  struct PendingRequest {
+    sched::Effects::Ask Request;
+    TimePoint AddedAt{};
     int Tries = 0;
   };
 
   void dispatch();
   std::map<std::string, Lane>::iterator freeLane();
-  bool isHeavy(const sched::Effects::Ask &Question) const;
-  size_t heavyLimit() const;
-  Awaitable<void> ask(std::string Name, Waiting What);
+  bool isLong(const sched::Effects::Ask &Request) const;
+  size_t maxLongInFlight() const;
+  Awaitable<void> ask(std::string Name, PendingRequest What);
 
   const Executor Where;
   const Clock Time;
   const AskThrough Ask;
   const Answered OnAnswer;
   std::map<std::string, Lane> Lanes;
-  std::map<Entry, Waiting> Queue;
+  std::map<QueueKey, PendingRequest> Queue;
   uint64_t NextNumber = 0;
-  size_t HeavyNow = 0; ///< Heavy questions in flight.
+  size_t LongInFlight = 0; ///< LongRequestThreshold questions in flight.
   bool Stopped = false;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
--- a/src/cell/call_losses.cpp
+++ b/src/cell/call_losses.cpp
@@ -6,18 +6,18 @@
 namespace {
 // A loss counts for so long: the time in which a second one comes where one call in twenty is lost
 // and a worker gets three calls a second.
-constexpr Milliseconds LossMemory{3000};
+constexpr Milliseconds LossWindow{3000};
 // One worker alone may be gone or slow.
-constexpr size_t LeastWorkers = 2;
+constexpr size_t MinWorkers = 2;
 } // namespace
 
 void noteLoss(CallLosses &Losses, const std::string &Worker, TimePoint Now) {
   Losses.Last[Worker] = Now;
 }
 
-bool callsGetLost(CallLosses &Losses, TimePoint Now) {
-  std::erase_if(Losses.Last, [&](const auto &Entry) { return Now - Entry.second > LossMemory; });
-  return Losses.Last.size() >= LeastWorkers;
+bool areCallsBeingLost(CallLosses &Losses, TimePoint Now) {
+  std::erase_if(Losses.Last, [&](const auto &Entry) { return Now - Entry.second > LossWindow; });
+  return Losses.Last.size() >= MinWorkers;
 }
 
 } // namespace valveshelf
--- a/src/cell/call_losses.h
+++ b/src/cell/call_losses.h
@@ -19,6 +19,6 @@
 
 /// True if several workers lately left a call without an answer: then it is calls that get lost,
 /// rather than one worker that is gone. Forgets what is old.
-bool callsGetLost(CallLosses &Losses, TimePoint Now);
+bool areCallsBeingLost(CallLosses &Losses, TimePoint Now);
 
 } // namespace valveshelf
--- a/src/cell/call_losses_test.cpp
+++ b/src/cell/call_losses_test.cpp
@@ -8,21 +8,21 @@
 namespace {
 using namespace std::chrono_literals;
 
-TEST(CallLosses, OneWorkerAloneSaysNothingOfTheOthers) {
+TEST(CallLosses, IgnoresLossesOfOneWorker) {
   CallLosses Losses;
   const TimePoint Now = TimePoint{} + 1000s;
   noteLoss(Losses, "w1", Now);
   noteLoss(Losses, "w1", Now + 10ms);
-  EXPECT_FALSE(callsGetLost(Losses, Now + 20ms));
+  EXPECT_FALSE(areCallsBeingLost(Losses, Now + 20ms));
 }
 
-TEST(CallLosses, TwoWorkersDoUntilTheLossesAreOld) {
+TEST(CallLosses, DetectsLossesOfTwoWorkersUntilTheyExpire) {
   CallLosses Losses;
   const TimePoint Now = TimePoint{} + 1000s;
   noteLoss(Losses, "w1", Now);
   noteLoss(Losses, "w2", Now + 1s);
-  EXPECT_TRUE(callsGetLost(Losses, Now + 1s));
-  EXPECT_FALSE(callsGetLost(Losses, Now + 3500ms));
+  EXPECT_TRUE(areCallsBeingLost(Losses, Now + 1s));
+  EXPECT_FALSE(areCallsBeingLost(Losses, Now + 3500ms));
   EXPECT_LE(Losses.Last.size(), 1u);
 }
 
--- a/src/cell/histories_test.cpp
+++ b/src/cell/compacted_history_test.cpp
@@ -28,7 +28,7 @@
     Io.run_for(Time);
   }
   // Changes are made while no watch hears of them, and their history is gone.
-  template <class Change> void changeUnheard(Change Make) {
+  template <class Change> void changeUnobserved(Change Make) {
     Store.Down = true;
     play(100ms);
     Make();
@@ -38,20 +38,20 @@
   }
 };
 
-TEST(Histories, TheViewOfTheCellIsReadAgain) {
+TEST(CompactedHistory, CellViewReadsStateAgain) {
   Watched Given;
   Given.Store.put(std::string(LeaderKey), encodeLeader({"b", {"127.0.0.1", 2}, 3}), 0);
   CellView View(Given.Io.get_executor(), Given.Store.ops(), Given.Settings, [] {});
   View.start();
   Given.play(30ms);
   ASSERT_EQ(View.snapshot().Leader->Term, 3u);
-  Given.changeUnheard([&] { Given.Store.remove(std::string(LeaderKey)); });
+  Given.changeUnobserved([&] { Given.Store.remove(std::string(LeaderKey)); });
   EXPECT_FALSE(View.snapshot().Leader);
   View.stop();
   Given.play(2s);
 }
 
-TEST(Histories, TheListOfMembersIsReadAgain) {
+TEST(CompactedHistory, MemberListReadsStateAgain) {
   Watched Given;
   for (const char *Name : {"a", "b"})
     Given.Store.put(memberKey(Name), encodeMember({Name, {"127.0.0.1", 2}, "z", 1}), 0);
@@ -62,13 +62,13 @@
   List->start();
   Given.play(30ms);
   ASSERT_EQ(List->members().size(), 2u);
-  Given.changeUnheard([&] { Given.Store.remove(memberKey("b")); });
+  Given.changeUnobserved([&] { Given.Store.remove(memberKey("b")); });
   EXPECT_EQ(List->members().size(), 1u);
   List->stop();
   Given.play(1s);
 }
 
-TEST(Histories, WhatOperatorsAskForIsReadAgain) {
+TEST(CompactedHistory, ConfigWatchReadsStateAgain) {
   Watched Given;
   Given.Store.put("op/evacuate/z1", "{}", 0);
   ConfigLinks Links;
@@ -87,7 +87,7 @@
   Watch.start();
   Given.play(30ms);
   ASSERT_EQ(Watch.evacuated().Names.size(), 1u);
-  Given.changeUnheard([&] { Given.Store.remove("op/evacuate/z1"); });
+  Given.changeUnobserved([&] { Given.Store.remove("op/evacuate/z1"); });
   EXPECT_TRUE(Watch.evacuated().Names.empty());
   Watch.stop();
   Given.play(1s);
--- a/src/cell/leadership.cpp
+++ b/src/cell/leadership.cpp
@@ -85,7 +85,8 @@
   if (Probing || Stopped || !Suspect || Suspect->Name == Tools.Settings.Member)
     co_return;
   Probing = true;
-  const Milliseconds Time = probeTime(Terms, Tools.Settings.Timing.LeaderLease, Tools.Time.Now());
+  const Milliseconds Time =
+      probeTimeout(Terms, Tools.Settings.Timing.LeaderLease, Tools.Time.Now());
   const Presence Found = co_await Links.Listens(Suspect->Peers, Time);
   Probing = false;
   if (Found == Presence::Listens)
--- a/src/cell/list_age.cpp
+++ b/src/cell/list_age.cpp
@@ -7,25 +7,25 @@
 namespace valveshelf {
 namespace {
 // Beyond the longest hold of a watch: its way back, and the pause in which changes are gathered.
-constexpr Milliseconds LookSlack{500};
-constexpr Milliseconds LookAgain{250};
+constexpr Milliseconds RefreshSlack{500};
+constexpr Milliseconds RefreshPause{250};
 // Operators allow starts on a worker for three seconds or more after it has said that it leaves.
-constexpr Milliseconds LongestAge{3000};
+constexpr Milliseconds MaxAge{3000};
 } // namespace
 
 void noteListAnswer(ListAge &Age, TimePoint SentAt, Milliseconds HeldFor) {
-  Age.AsOf = std::max(Age.AsOf, SentAt + HeldFor);
+  Age.CompleteUntil = std::max(Age.CompleteUntil, SentAt + HeldFor);
 }
 
-bool wantsListLook(ListAge &Age, Milliseconds WatchTime, TimePoint Now) {
-  if (Now - Age.AsOf < WatchTime + LookSlack || Now < Age.LookAt)
+bool needsListRefresh(ListAge &Age, Milliseconds WatchTime, TimePoint Now) {
+  if (Now - Age.CompleteUntil < WatchTime + RefreshSlack || Now < Age.NextRefresh)
     return false;
-  Age.LookAt = Now + LookAgain;
+  Age.NextRefresh = Now + RefreshPause;
   return true;
 }
 
-bool isListBehind(const ListAge &Age, bool IsStoreResponsive, TimePoint Now) {
-  return IsStoreResponsive && Now - Age.AsOf > LongestAge;
+bool isListStale(const ListAge &Age, bool IsStoreResponsive, TimePoint Now) {
+  return IsStoreResponsive && Now - Age.CompleteUntil > MaxAge;
 }
 
 } // namespace valveshelf
--- a/src/cell/list_age.h
+++ b/src/cell/list_age.h
@@ -10,9 +10,9 @@
 
 /// Plain data; one thread at a time.
 struct ListAge {
-  TimePoint AsOf{};   ///< All that had changed by then is known.
-  TimePoint LookAt{}; ///< Not before this time is the store asked beside the watch.
-  bool IsBehind = false;
+  TimePoint CompleteUntil{}; ///< All that had changed by then is known.
+  TimePoint NextRefresh{};   ///< Not before this time is the store asked beside the watch.
+  bool IsStale = false;
 };
 
 /// A call for changes was answered with all there were. One that was held to its end and brought
@@ -21,9 +21,9 @@
 void noteListAnswer(ListAge &Age, TimePoint SentAt, Milliseconds HeldFor);
 /// True if the store is to be asked at once what has changed: the watch has been silent for longer
 /// than it is ever held. Asked again after a pause, since that answer may be lost as well.
-bool wantsListLook(ListAge &Age, Milliseconds WatchTime, TimePoint Now);
+bool needsListRefresh(ListAge &Age, Milliseconds WatchTime, TimePoint Now);
 /// True from when the list is so old that nothing may be started by it. Where the store answers
 /// nobody, what is known goes on to hold: \p IsStoreResponsive says that it does answer.
-bool isListBehind(const ListAge &Age, bool IsStoreResponsive, TimePoint Now);
+bool isListStale(const ListAge &Age, bool IsStoreResponsive, TimePoint Now);
 
 } // namespace valveshelf
--- a/src/cell/scheduler_heartbeats.cpp
+++ b/src/cell/scheduler_heartbeats.cpp
@@ -202,7 +202,7 @@
 // Rechecks at workers with runs whose held call may have been lost.
 void SchedulerRunner::recheckBusyWorkers() {
   const TimePoint Now = Deps.Time.Now();
-  if (!callsGetLost(Losses, Now))
+  if (!areCallsBeingLost(Losses, Now))
     return;
   size_t Rechecks = 0;
   for (auto &[Id, Since] : LongPolls) {
@@ -229,7 +229,7 @@
   Start.Fence = Self->OwnClaim.Term;
   Start.Checkpoint = std::move(Order.Checkpoint);
   Start.Ticket = std::move(Order.Ticket);
-  Start.Timeout = Self->Pace.Timeout;
+  Start.Timeout = Self->CallTimeout.Current;
   workerLeased(Self->Cell, Order.Worker, Self->leaseEnd(Self->clockAge(Order.Worker)));
   Self->wakeHeartbeatLoop(Order.Worker);
   const TimePoint SentAt = Self->Deps.Time.Now();
@@ -238,7 +238,7 @@
   Self->Deps.Metrics.count(metrics::Starts, std::to_string(static_cast<int>(What)));
   if (Self->Stopped)
     co_return;
-  noteOrder(Self->Pace, What != StartResult::Unknown);
+  noteCall(Self->CallTimeout, What != StartResult::Unknown);
   if (What != StartResult::Started)
     logEvent(events::StartNotConfirmed, {{"task", toString(Order.Run.Task)},
                                          {"run", std::to_string(Order.Run.Run)},
@@ -264,7 +264,7 @@
   StopRun Stop{{Order.Worker, Found->second.Info.Address},
                Order.Run,
                Self->OwnClaim.Term,
-               Self->Pace.Timeout};
+               Self->CallTimeout.Current};
   Result<Done> Answer = co_await Self->Deps.Workers.Stop(std::move(Stop));
   if (Self->Stopped)
     co_return;
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -57,8 +57,8 @@
   Cell.FirstRun = static_cast<uint32_t>((OwnClaim.Term - 1) * RunsPerTerm + 1);
   Cell.Wall = Deps.Time.Wall();
   Cell.WallAt = Deps.Time.Now();
-  Pace.Least = Pace.Timeout = Deps.Settings.Timing.WorkerTimeout;
-  Pace.Most = std::max(Pace.Most, Pace.Least);
+  CallTimeout.Min = CallTimeout.Current = Deps.Settings.Timing.WorkerTimeout;
+  CallTimeout.Max = std::max(CallTimeout.Max, CallTimeout.Min);
 }
 
 void SchedulerRunner::start() { spawnLater(Deps.Where, loadWithRetries(shared_from_this())); }
--- a/src/cell/scheduler_runner.h
+++ b/src/cell/scheduler_runner.h
@@ -3,10 +3,10 @@
 // out what the decisions of `cell_state.h` say. Ends when a newer scheduler is heard of.
 #pragma once
 
+#include "cell/adaptive_timeout.h"
 #include "cell/advice_lanes.h"
 #include "cell/call_losses.h"
 #include "cell/list_age.h"
-#include "cell/order_pace.h"
 #include "valveshelf/burn.h"
 #include "valveshelf/cell_metrics.h"
 #include "valveshelf/cell_records.h"
@@ -167,7 +167,7 @@
   ListAge WorkerListAge;
   uint64_t WorkerListRevision = 0; ///< The list of workers is known up to it.
   CallLosses Losses;
-  OrderPace Pace;
+  AdaptiveTimeout CallTimeout;
   std::unordered_map<std::string, SteadyTimer *> WakeTimers; ///< Loops that wait.
   std::map<std::string, uint64_t> WorkerRecords; ///< Workers noted in the store, and the revisions.
   std::set<sched::JobId> StaleCancels;           ///< Marks whose jobs have ended.
--- a/src/cell/scheduler_worker_list.cpp
+++ b/src/cell/scheduler_worker_list.cpp
@@ -120,8 +120,8 @@
 void SchedulerRunner::refreshWorkerListIfOld() {
   const TimePoint Now = Deps.Time.Now();
   Deps.Metrics.set(metrics::WorkerListAge,
-                   std::chrono::duration<double>(Now - WorkerListAge.AsOf).count());
-  if (wantsListLook(WorkerListAge, Deps.Settings.Timing.WatchTime, Now))
+                   std::chrono::duration<double>(Now - WorkerListAge.CompleteUntil).count());
+  if (needsListRefresh(WorkerListAge, Deps.Settings.Timing.WatchTime, Now))
     spawnLater(Deps.Where, refreshWorkerList(shared_from_this()));
 }
 
@@ -130,15 +130,15 @@
   if (!Cell.Loaded)
     return false;
   const TimePoint Now = Deps.Time.Now();
-  const bool Behind = isListBehind(WorkerListAge, Deps.IsStoreResponsive(), Now);
-  if (Behind != WorkerListAge.IsBehind) {
-    const auto Age = std::chrono::duration_cast<Milliseconds>(Now - WorkerListAge.AsOf);
-    logEvent(Behind ? events::FleetBehind : events::FleetKnown,
+  const bool Stale = isListStale(WorkerListAge, Deps.IsStoreResponsive(), Now);
+  if (Stale != WorkerListAge.IsStale) {
+    const auto Age = std::chrono::duration_cast<Milliseconds>(Now - WorkerListAge.CompleteUntil);
+    logEvent(Stale ? events::FleetBehind : events::FleetKnown,
              {{"age_ms", std::to_string(Age.count())},
               {"revision", std::to_string(WorkerListRevision)}});
   }
-  WorkerListAge.IsBehind = Behind;
-  return Behind;
+  WorkerListAge.IsStale = Stale;
+  return Stale;
 }
 
 } // namespace valveshelf
--- a/src/cell/suspicion.cpp
+++ b/src/cell/suspicion.cpp
@@ -7,27 +7,27 @@
 namespace valveshelf {
 namespace {
 // A process that does not take a connection by then is dead or cut off; connecting takes 2 ms.
-constexpr Milliseconds FirstProbeTime{150};
-constexpr int ProbeGrowth = 3;
+constexpr Milliseconds BaseProbeTimeout{150};
+constexpr int ProbeTimeoutGrowth = 3;
 // Changes older than this say nothing of the links now; twice the longest that a store stays away.
-constexpr Milliseconds ChangesCount{20000};
+constexpr Milliseconds ChangeWindow{20000};
 } // namespace
 
-void noteTerm(TermHistory &Seen, uint64_t Term, TimePoint Now) {
-  if (Term <= Seen.Newest)
+void noteTerm(TermHistory &History, uint64_t Term, TimePoint Now) {
+  if (Term <= History.NewestTerm)
     return;
-  if (Seen.Newest != 0)
-    Seen.Changes.push_back(Now);
-  Seen.Newest = Term;
-  while (!Seen.Changes.empty() && Now - Seen.Changes.front() > ChangesCount)
-    Seen.Changes.pop_front();
+  if (History.NewestTerm != 0)
+    History.Changes.push_back(Now);
+  History.NewestTerm = Term;
+  while (!History.Changes.empty() && Now - History.Changes.front() > ChangeWindow)
+    History.Changes.pop_front();
 }
 
-Milliseconds probeTime(const TermHistory &Seen, Milliseconds Lease, TimePoint Now) {
-  Milliseconds Time = FirstProbeTime;
-  for (const TimePoint At : Seen.Changes)
-    if (Now - At <= ChangesCount && Time < Lease)
-      Time *= ProbeGrowth;
+Milliseconds probeTimeout(const TermHistory &History, Milliseconds Lease, TimePoint Now) {
+  Milliseconds Time = BaseProbeTimeout;
+  for (const TimePoint At : History.Changes)
+    if (Now - At <= ChangeWindow && Time < Lease)
+      Time *= ProbeTimeoutGrowth;
   return std::min(Time, Lease);
 }
 
--- a/src/cell/suspicion.h
+++ b/src/cell/suspicion.h
@@ -12,18 +12,18 @@
 
 /// The changes of the scheduler that this process has seen.
 struct TermHistory {
-  uint64_t Newest = 0;
+  uint64_t NewestTerm = 0;
   std::deque<TimePoint> Changes; ///< Oldest first; the first term seen is none.
 };
 
 /// Notes that the scheduler of \p Term was read of at \p Now.
-void noteTerm(TermHistory &Seen, uint64_t Term, TimePoint Now);
+void noteTerm(TermHistory &History, uint64_t Term, TimePoint Now);
 
 /// How long a probe waits for an answer. It answers the load of a link that stands full: a
 /// scheduler behind it is slow to take connections, and each takeover adds questions to every
 /// worker, so that with one time for all probes schedulers would depose each other for ever. The
 /// time triples with each change seen in the last 20 s, up to \p Lease, by when the claim lapses by
 /// itself if its holder is gone.
-Milliseconds probeTime(const TermHistory &Seen, Milliseconds Lease, TimePoint Now);
+Milliseconds probeTimeout(const TermHistory &History, Milliseconds Lease, TimePoint Now);
 
 } // namespace valveshelf
--- a/src/cell/suspicion_test.cpp
+++ b/src/cell/suspicion_test.cpp
@@ -8,21 +8,21 @@
 namespace {
 using namespace std::chrono_literals;
 
-TEST(Suspicion, TheBarRisesWithEachChangeAndFallsWithTime) {
+TEST(Suspicion, ProbeTimeoutGrowsWithChangesAndDecays) {
   const TimePoint Begun = TimePoint{} + 1000s;
-  TermHistory Seen;
-  noteTerm(Seen, 7, Begun);
-  EXPECT_EQ(probeTime(Seen, 1500ms, Begun), 150ms); // the first term seen is no change
-  noteTerm(Seen, 7, Begun + 1s);
-  EXPECT_EQ(probeTime(Seen, 1500ms, Begun + 1s), 150ms);
-  noteTerm(Seen, 8, Begun + 2s);
-  EXPECT_EQ(probeTime(Seen, 1500ms, Begun + 2s), 450ms);
-  noteTerm(Seen, 9, Begun + 4s);
-  EXPECT_EQ(probeTime(Seen, 1500ms, Begun + 4s), 1350ms);
-  noteTerm(Seen, 10, Begun + 6s);
-  EXPECT_EQ(probeTime(Seen, 1500ms, Begun + 6s), 1500ms);
-  EXPECT_EQ(probeTime(Seen, 1500ms, Begun + 23s), 1350ms);
-  EXPECT_EQ(probeTime(Seen, 1500ms, Begun + 40s), 150ms);
+  TermHistory History;
+  noteTerm(History, 7, Begun);
+  EXPECT_EQ(probeTimeout(History, 1500ms, Begun), 150ms); // the first term seen is no change
+  noteTerm(History, 7, Begun + 1s);
+  EXPECT_EQ(probeTimeout(History, 1500ms, Begun + 1s), 150ms);
+  noteTerm(History, 8, Begun + 2s);
+  EXPECT_EQ(probeTimeout(History, 1500ms, Begun + 2s), 450ms);
+  noteTerm(History, 9, Begun + 4s);
+  EXPECT_EQ(probeTimeout(History, 1500ms, Begun + 4s), 1350ms);
+  noteTerm(History, 10, Begun + 6s);
+  EXPECT_EQ(probeTimeout(History, 1500ms, Begun + 6s), 1500ms);
+  EXPECT_EQ(probeTimeout(History, 1500ms, Begun + 23s), 1350ms);
+  EXPECT_EQ(probeTimeout(History, 1500ms, Begun + 40s), 150ms);
 }
 
 } // namespace
