--- a/src/cell/scheduler_heartbeats.cpp
+++ b/src/cell/scheduler_heartbeats.cpp
@@ -93,10 +93,10 @@
     workerLeased(Cell, Id, leaseEnd(clockAge(Id)));
   }
   const uint64_t Forgotten = Order.ForgetThrough;
-  const TimePoint AskedAt = Deps.Time.Now();
+  const TimePoint SentAt = Deps.Time.Now();
   const bool IsLongPoll = Wait.count() > 0;
   if (IsLongPoll)
-    LongPolls[Id] = AskedAt;
+    LongPolls[Id] = SentAt;
   Result<WorkerReport> Report = co_await Deps.Workers.Heartbeat(std::move(Order));
   if (IsLongPoll)
     LongPolls.erase(Id);
@@ -108,13 +108,13 @@
   const TimePoint Now = Deps.Time.Now();
   Effects Out;
   if (ok(Report)) {
-    HeartbeatState &Clock = HeartbeatStates[Id];
+    HeartbeatState &State = HeartbeatStates[Id];
     // Answers on two connections may overtake each other; an older one says nothing new.
-    if (value(Report).WorkerClock >= Clock.WorkerClock) {
-      Clock.WorkerClock = value(Report).WorkerClock;
-      Clock.ReadAt = Now;
-      workerReported(Cell, Id, value(Report), AskedAt, Now, Out);
-      Clock.ForgottenThrough = std::max(Clock.ForgottenThrough, Forgotten);
+    if (value(Report).WorkerClock >= State.WorkerClock) {
+      State.WorkerClock = value(Report).WorkerClock;
+      State.ReadAt = Now;
+      workerReported(Cell, Id, value(Report), SentAt, Now, Out);
+      State.ForgottenThrough = std::max(State.ForgottenThrough, Forgotten);
     }
   } else if (error(Report).Kind == ErrorKind::NotOwner) {
     Out.Deposed = true;
@@ -173,10 +173,10 @@
     }
     if (Found == Self->Cell.Workers.end() || Self->Stopped)
       break;
-    const auto Clock = Self->HeartbeatStates.find(Id);
-    const bool First = Clock == Self->HeartbeatStates.end();
+    const auto State = Self->HeartbeatStates.find(Id);
+    const bool First = State == Self->HeartbeatStates.end();
     if (!First && !isIdle(Found->second))
-      Clock->second.LastBusyAt = Self->Deps.Time.Now();
+      State->second.LastBusyAt = Self->Deps.Time.Now();
     const bool Waits = !First && Last == HeartbeatOutcome::Answered &&
                        Found->second.Unsaved.empty() && !Self->canSuspendHeartbeats(Found->second);
     const Milliseconds Wait = Waits ? Self->Deps.Settings.Timing.HoldWait : Milliseconds(0);
