--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -2,9 +2,9 @@
 // Wiring of an entry process, its readiness and its planned stop.
 #include "valveshelf/cell_process.h"
 
+#include "cell/caller_api.h"
 #include "cell/cell_view.h"
 #include "cell/config_watch.h"
-#include "cell/front_door.h"
 #include "cell/intake.h"
 #include "cell/leadership.h"
 #include "valveshelf/cell_link.h"
@@ -62,9 +62,9 @@
                configLinks()),
         In(
             Where, Store, Time, Settings, [this] { return Path.isSilent(); },
-            [this](IntakeNews News) { announce(std::move(News)); }),
+            [this](IntakeUpdate News) { announce(std::move(News)); }),
         Lead(schedulerTools(), View, leadershipLinks()),
-        Door(Settings, Time, callerCodec(), Store, Config, View, Lead, In, Peers,
+        Api(Settings, Time, callerCodec(), Store, Config, View, Lead, In, Peers,
              [this] { return Path.retryAfter(); }),
         Callers(Where, Settings.Callers, serverLimits(),
                 [this](HttpExchange &E) { return serveCaller(E); }),
@@ -110,7 +110,7 @@
     Finished(0);
   }
 
-  SchedulerTools schedulerTools() {
+  SchedulerDependencies schedulerTools() {
     return {Where,
             Time,
             Settings,
@@ -121,7 +121,7 @@
               return askThrough(std::move(Lane), Step, std::move(Workers), Timeout);
             },
             From.WorkerPrefix,
-            From.Operators.Evacuations,
+            From.Operators.EvacuationPrefix,
             From.DecodeWorker,
             Metrics,
             Burn,
@@ -150,9 +150,9 @@
     Links.Peers = [this] { return schedulerFirst(); };
     Links.Schedules = [this] { return Lead.scheduler() != nullptr; };
     Links.HearsStore = [this] {
-      return Lead.scheduler() != nullptr || hearsStore(View.picture().Roster, Settings.Member);
+      return Lead.scheduler() != nullptr || hearsStore(View.snapshot().Roster, Settings.Member);
     };
-    Links.Hearers = [this] { return hearersFor(View.picture().Roster, Settings.Member); };
+    Links.Hearers = [this] { return hearersFor(View.snapshot().Roster, Settings.Member); };
     Links.Changed = [this] { Lead.configurationChanged(Config.current()); };
     Links.ZonesChanged = [this] { Lead.zonesChanged(Config.evacuated()); };
     return Links;
@@ -196,7 +196,7 @@
   // The other processes, the scheduler's before the others.
   std::vector<Endpoint> schedulerFirst() const {
     std::vector<Endpoint> Found = otherPeers();
-    const auto &Leader = View.picture().Leader;
+    const auto &Leader = View.snapshot().Leader;
     if (!Leader || Leader->Name == Settings.Member)
       return Found;
     std::erase(Found, Leader->Peers);
@@ -222,7 +222,7 @@
                                        std::vector<std::string> Workers, Milliseconds Timeout) {
     if (Lane == Settings.Member)
       co_return co_await From.Advice.Ask(Step, std::move(Workers), Timeout);
-    const auto &Members = View.picture().Members;
+    const auto &Members = View.snapshot().Members;
     const auto Found = Members.find(Lane);
     if (Found == Members.end())
       co_return Error{ErrorKind::UpstreamUnavailable, Lane + " has left"};
@@ -244,12 +244,12 @@
     Advice Read;
     Read.Valid = Milliseconds(Got.valid_ms());
     for (int I = 0; I < Got.good_size() && I < Got.ticket_size(); ++I)
-      Read.Good.emplace_back(Got.good(I), Got.ticket(I));
+      Read.Eligible.emplace_back(Got.good(I), Got.ticket(I));
     co_return Read;
   }
 
   Awaitable<cell::AdviseReply> advise(cell::AdviseRequest Asked) {
-    if (const auto &Leader = View.picture().Leader; Leader && Leader->Name != Settings.Member)
+    if (const auto &Leader = View.snapshot().Leader; Leader && Leader->Name != Settings.Member)
       Config.peerHas(Leader->Peers, Asked.config_version());
     const StepKey Step{Asked.job(), Asked.round(), Asked.step()};
     std::vector<std::string> Workers(Asked.worker().begin(), Asked.worker().end());
@@ -262,7 +262,7 @@
       co_return Reply;
     }
     Reply.set_valid_ms(value(Answer).Valid.count());
-    for (const auto &[Worker, Ticket] : value(Answer).Good) {
+    for (const auto &[Worker, Ticket] : value(Answer).Eligible) {
       Reply.add_good(Worker);
       Reply.add_ticket(Ticket);
     }
@@ -273,10 +273,10 @@
     CellHandlers Answers;
     Answers.Advise = [this](cell::AdviseRequest Asked) { return advise(std::move(Asked)); };
     Answers.JobState = [this](cell::JobStateRequest Asked) -> Awaitable<cell::JobStateReply> {
-      co_return Door.jobState(Asked);
+      co_return Api.jobState(Asked);
     };
     Answers.Waiting = [this](cell::WaitingRequest Asked) -> Awaitable<cell::WaitingReply> {
-      co_return Door.waiting(Asked);
+      co_return Api.waiting(Asked);
     };
     Answers.Explain = [this](cell::ExplainRequest Asked) -> Awaitable<cell::ExplainReply> {
       cell::ExplainReply Reply;
@@ -302,7 +302,7 @@
   }
 
   // What has become durable here is told to the scheduler; its watch would bring it as well.
-  void announce(IntakeNews News) {
+  void announce(IntakeUpdate News) {
     if (const auto Here = Lead.scheduler()) {
       for (const std::string &Job : News.Jobs)
         Here->announceJob(Job, News.Revision);
@@ -310,12 +310,12 @@
         Here->announceCancel(Id);
       return;
     }
-    const auto &Leader = View.picture().Leader;
+    const auto &Leader = View.snapshot().Leader;
     if (Leader && Leader->Name != Settings.Member)
       spawnLater(Where, tell(Leader->Peers, std::move(News)));
   }
 
-  Awaitable<void> tell(Endpoint To, IntakeNews News) {
+  Awaitable<void> tell(Endpoint To, IntakeUpdate News) {
     cell::AnnounceRequest Message;
     Message.set_revision(News.Revision);
     Message.set_config_version(Config.version());
@@ -327,7 +327,7 @@
     Result<cell::AnnounceReply> Told =
         co_await Peers.Announce(To, std::move(Message), AnnounceTimeout);
     if (!ok(Told) || value(Told).error() != 0)
-      View.doubt();
+      View.refreshSoon();
     if (!ok(Told))
       co_return co_await Lead.suspect();
     Config.peerHas(To, value(Told).config_version());
@@ -350,7 +350,7 @@
 
   std::vector<Endpoint> otherPeers() const {
     std::vector<Endpoint> Found;
-    for (const auto &[Name, Info] : View.picture().Members)
+    for (const auto &[Name, Info] : View.snapshot().Members)
       if (Name != Settings.Member)
         Found.push_back(Info.Peers);
     return Found;
@@ -407,7 +407,7 @@
         callerKey(Exchange.headers(), From.CallerKeyHeader), std::move(value(Body))};
     // On the strand of this process, where all state lives.
     const TimePoint Came = Time.Now();
-    HttpResponse Answer = co_await boost::asio::co_spawn(Where, Door.answer(std::move(Asked)),
+    HttpResponse Answer = co_await boost::asio::co_spawn(Where, Api.answer(std::move(Asked)),
                                                          boost::asio::use_awaitable);
     Metrics.observe(metrics::CallSeconds, Time.Now() - Came);
     Metrics.count(metrics::Calls, Exchange.method() + " " + std::to_string(Answer.Status));
@@ -439,7 +439,7 @@
 
   Awaitable<HttpResponse> explain(JobId Id) {
     std::string Text;
-    const auto &Leader = View.picture().Leader;
+    const auto &Leader = View.snapshot().Leader;
     if (const auto Here = Lead.scheduler()) {
       Text = Here->explain(Id);
     } else if (Leader && Leader->Name != Settings.Member) {
@@ -488,7 +488,7 @@
   ConfigWatch Config;
   Intake In;
   Leadership Lead;
-  FrontDoor Door;
+  CallerApi Api;
   HttpServer Callers;
   HttpServer Readiness;
   HttpServer Operators;
