--- a/src/cell/advice_lanes.cpp
+++ b/src/cell/advice_lanes.cpp
@@ -99,7 +99,8 @@
   if (ok(Answer))
     Used.FailuresInARow = 0;
   else
-    Used.BackoffUntil = Time.Now() + LaneBackoff * (1 << std::min(Used.FailuresInARow++, MaxBackoffDoublings));
+    Used.BackoffUntil =
+        Time.Now() + LaneBackoff * (1 << std::min(Used.FailuresInARow++, MaxBackoffDoublings));
   if (!ok(Answer) && ++What.Tries < MaxTries && Lanes.size() > 1) {
     const QueueKey Place{What.Request.IsLate, What.Request.Priority, ++NextNumber};
     Queue.emplace(Place, std::move(What));
--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -65,7 +65,7 @@
             [this](IntakeUpdate News) { announce(std::move(News)); }),
         Lead(schedulerTools(), View, leadershipLinks()),
         Api(Settings, Time, callerCodec(), Store, Config, View, Lead, In, Peers,
-             [this] { return Path.retryAfter(); }),
+            [this] { return Path.retryAfter(); }),
         Callers(Where, Settings.Callers, serverLimits(),
                 [this](HttpExchange &E) { return serveCaller(E); }),
         Readiness(Where, Settings.Readiness, serverLimits(),
--- a/src/cell/scheduler_heartbeats.cpp
+++ b/src/cell/scheduler_heartbeats.cpp
@@ -39,7 +39,8 @@
 
 Steady::duration SchedulerRunner::clockAge(const std::string &Id) const {
   const auto Found = HeartbeatStates.find(Id);
-  return Found == HeartbeatStates.end() ? Steady::duration(0) : Deps.Time.Now() - Found->second.ReadAt;
+  return Found == HeartbeatStates.end() ? Steady::duration(0)
+                                        : Deps.Time.Now() - Found->second.ReadAt;
 }
 
 Milliseconds SchedulerRunner::workerTime(const std::string &Id) const {
@@ -74,7 +75,8 @@
   workerSilent(Cell, Id);
 }
 
-Awaitable<SchedulerRunner::HeartbeatOutcome> SchedulerRunner::sendHeartbeat(std::string Id, Milliseconds Wait) {
+Awaitable<SchedulerRunner::HeartbeatOutcome> SchedulerRunner::sendHeartbeat(std::string Id,
+                                                                            Milliseconds Wait) {
   auto Found = Cell.Workers.find(Id);
   if (Found == Cell.Workers.end())
     co_return HeartbeatOutcome::Ended;
@@ -175,7 +177,8 @@
     const bool First = State == Self->HeartbeatStates.end();
     if (!First && !isIdle(Found->second))
       State->second.LastBusyAt = Self->Deps.Time.Now();
-    const bool Waits = !First && Last == HeartbeatOutcome::Answered && Found->second.UnsavedEnds.empty() &&
+    const bool Waits = !First && Last == HeartbeatOutcome::Answered &&
+                       Found->second.UnsavedEnds.empty() &&
                        !Self->canSuspendHeartbeats(Found->second);
     const Milliseconds Wait = Waits ? Self->Deps.Settings.Timing.HoldWait : Milliseconds(0);
     Last = co_await Self->sendHeartbeat(Id, Wait);
@@ -259,8 +262,10 @@
                                 {"run", std::to_string(Order.Run.Run)},
                                 {"worker", Order.Worker},
                                 {"why", "\"" + Order.Why + "\""}});
-  StopRun Stop{
-      {Order.Worker, Found->second.Info.Address}, Order.Run, Self->OwnClaim.Term, Self->CallTimeout.Current};
+  StopRun Stop{{Order.Worker, Found->second.Info.Address},
+               Order.Run,
+               Self->OwnClaim.Term,
+               Self->CallTimeout.Current};
   Result<Done> Answer = co_await Self->Deps.Workers.Stop(std::move(Stop));
   if (Self->Stopped)
     co_return;
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -270,7 +270,7 @@
 Awaitable<void> SchedulerRunner::watchIntake(SelfPtr Self, uint64_t From) {
   while (!Self->Stopped) {
     Result<KeyChanges> Read = co_await Self->Deps.Store.Watch(std::string(IntakePrefix), From,
-                                                             Self->Deps.Settings.Timing.WatchTime);
+                                                              Self->Deps.Settings.Timing.WatchTime);
     if (Self->Stopped)
       co_return;
     if (ok(Read)) {
@@ -377,7 +377,8 @@
   if (IsPlacementScheduled || Stopped)
     return;
   IsPlacementScheduled = true;
-  PlacementTimer.expires_after(std::max<Steady::duration>(PlacementDelay, LastPlacementTime * PlacementPauseFactor));
+  PlacementTimer.expires_after(
+      std::max<Steady::duration>(PlacementDelay, LastPlacementTime * PlacementPauseFactor));
   PlacementTimer.async_wait([Self = shared_from_this()](boost::system::error_code) {
     Self->IsPlacementScheduled = false;
     if (Self->Stopped)
--- a/src/cell/scheduler_runner.h
+++ b/src/cell/scheduler_runner.h
@@ -38,7 +38,7 @@
   std::function<Result<sched::WorkerInfo>(std::string_view Id, std::string_view Bytes)>
       DecodeWorker;
   CellMetrics &Metrics;
-  BurnBook &Burn;                     ///< Ends by queue; outlives the terms of this process.
+  BurnBook &Burn;                          ///< Ends by queue; outlives the terms of this process.
   std::function<bool()> IsStoreResponsive; ///< Whether the store has answered just now.
 };
 
@@ -82,7 +82,7 @@
   struct HeartbeatState {
     Milliseconds WorkerClock{0};
     TimePoint ReadAt{};
-    TimePoint LastBusyAt{};            ///< When something of ours was last known to be there.
+    TimePoint LastBusyAt{};        ///< When something of ours was last known to be there.
     uint64_t ForgottenThrough = 0; ///< The worker was told to forget ends up to this one.
   };
 
@@ -118,7 +118,8 @@
   void wakeHeartbeatLoop(const std::string &Id);
   void workerRecordsWritten(const std::vector<std::string> &Noted, uint64_t Revision);
   void workerRecordsRemoved(const std::vector<std::string> &Removed);
-  void reconcileWorkerRecords(const std::vector<std::string> &Asked, const std::vector<KeyValue> &CurrentItems);
+  void reconcileWorkerRecords(const std::vector<std::string> &Asked,
+                              const std::vector<KeyValue> &CurrentItems);
   static Awaitable<void> sendHeartbeatNow(SelfPtr Self, std::string Id);
   void recheckBusyWorkers();
   static Awaitable<void> sendStart(SelfPtr Self, sched::Effects::Start Order);
@@ -160,7 +161,7 @@
   sched::CellState Cell;
   AdviceLanes Lanes;
   std::unordered_map<std::string, HeartbeatState> HeartbeatStates; ///< By worker.
-  std::unordered_set<std::string> HeartbeatLoops;                 ///< Workers with a hold loop.
+  std::unordered_set<std::string> HeartbeatLoops;                  ///< Workers with a hold loop.
   std::unordered_map<std::string, TimePoint>
       LongPolls; ///< HeartbeatLoops calls: since when nothing was heard.
   ListAge WorkerListAge;
@@ -169,7 +170,7 @@
   AdaptiveTimeout CallTimeout;
   std::unordered_map<std::string, SteadyTimer *> WakeTimers; ///< Loops that wait.
   std::map<std::string, uint64_t> WorkerRecords; ///< Workers noted in the store, and the revisions.
-  std::set<sched::JobId> StaleCancels;       ///< Marks whose jobs have ended.
+  std::set<sched::JobId> StaleCancels;           ///< Marks whose jobs have ended.
   std::set<std::pair<sched::JobId, bool>> JobsBeingSaved; ///< Jobs, and whether it is their end.
   int SavesInFlight = 0;
   SteadyTimer SaveTimer;
--- a/src/cell/scheduler_saves.cpp
+++ b/src/cell/scheduler_saves.cpp
@@ -107,7 +107,7 @@
 
 // An earlier write of ours may have come through late: take the revisions as they stand.
 void SchedulerRunner::saveRejected(const std::vector<SaveEntry> &Batch,
-                               const std::vector<KeyValue> &CurrentItems) {
+                                   const std::vector<KeyValue> &CurrentItems) {
   std::map<std::string, uint64_t> Revisions;
   for (const KeyValue &Item : CurrentItems)
     Revisions[Item.Key] = Item.Revision;
@@ -123,7 +123,8 @@
   }
 }
 
-Awaitable<void> SchedulerRunner::save(SelfPtr Self, Transaction What, std::vector<SaveEntry> Written) {
+Awaitable<void> SchedulerRunner::save(SelfPtr Self, Transaction What,
+                                      std::vector<SaveEntry> Written) {
   Result<TransactionResult> Answer = co_await Self->Deps.Store.Commit(std::move(What));
   --Self->SavesInFlight;
   if (Self->Stopped)
@@ -174,7 +175,8 @@
 }
 
 // The workers of the list may be used from now on.
-void SchedulerRunner::workerRecordsWritten(const std::vector<std::string> &Noted, uint64_t Revision) {
+void SchedulerRunner::workerRecordsWritten(const std::vector<std::string> &Noted,
+                                           uint64_t Revision) {
   for (const std::string &Id : Noted) {
     WorkerRecords[Id] = Revision;
     if (const auto Found = Cell.Workers.find(Id); Found != Cell.Workers.end())
@@ -189,7 +191,7 @@
 
 // An earlier removal or note was carried out though its answer was lost.
 void SchedulerRunner::reconcileWorkerRecords(const std::vector<std::string> &Asked,
-                                    const std::vector<KeyValue> &CurrentItems) {
+                                             const std::vector<KeyValue> &CurrentItems) {
   workerRecordsRemoved(Asked);
   for (const KeyValue &Item : CurrentItems)
     for (const std::string &Id : Asked)
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -64,15 +64,16 @@
   uint32_t MaxNewWorkersPerTick = 64;      ///< Most that are made ready in one tick.
   Milliseconds FailureAvoidanceTime{1000}; ///< A task that failed goes elsewhere for so long; a
                                            ///< worker that fails everything is set aside by then.
-  int MaxConsecutiveFailures = 3; ///< A worker that failed so many runs in a row is set aside.
-  uint32_t MaxStartupCrashes = 3; ///< A task that crashed so many workers in a row as it began is
-                                  ///< given up. Operators allow it from the second on.
-  uint32_t MinConfirmedCrashes = 2;  ///< So many of them have to be sure; operators ask for two.
-  uint32_t MaxUnconfirmedCrashes = 4;  ///< Without that; operators allow five starts.
-  uint32_t MaxCrashesWithInherited = 5; ///< With a last start of which nobody is left to tell how it went.
+  int MaxConsecutiveFailures = 3;   ///< A worker that failed so many runs in a row is set aside.
+  uint32_t MaxStartupCrashes = 3;   ///< A task that crashed so many workers in a row as it began is
+                                    ///< given up. Operators allow it from the second on.
+  uint32_t MinConfirmedCrashes = 2; ///< So many of them have to be sure; operators ask for two.
+  uint32_t MaxUnconfirmedCrashes = 4; ///< Without that; operators allow five starts.
+  uint32_t MaxCrashesWithInherited =
+      5; ///< With a last start of which nobody is left to tell how it went.
   uint32_t MaxWeightedCrashes = 5; ///< The same for `TaskState::WeightedCrashes`: a sound task that
                                    ///< runs beside others is on a worker that crashes often enough.
-  Milliseconds StartupTime{500}; ///< So long after its start a run counts as beginning.
+  Milliseconds StartupTime{500};   ///< So long after its start a run counts as beginning.
 };
 
 /// Where an attempt stands.
@@ -86,9 +87,9 @@
 
 /// How a worker's runs were found to be over without its word.
 enum class WorkerEnd {
-  Replaced, ///< Another life answers at its address.
+  Replaced,     ///< Another life answers at its address.
   Unlisted,     ///< It is off the platform's list, silent, and its lease is over.
-  LeaseExpired,   ///< It is listed, silent, and its lease is over; it may be heard again.
+  LeaseExpired, ///< It is listed, silent, and its lease is over; it may be heard again.
 };
 std::string_view toString(WorkerEnd How);
 
@@ -130,29 +131,30 @@
   WorkerInfo Info;
   uint32_t Slot = 0;   ///< Its number within this term, in `CellState::Slots`; never used again.
   bool Listed = false; ///< It stands in the platform's list.
-  bool IsSelected = false; ///< It is to be used: noted in the store, then asked what it holds.
-  bool HasReported = false;  ///< It has answered this scheduler; its attempts are known.
-  bool IsResponsive = true; ///< The last call to it was answered.
-  bool IsRecorded = false;  ///< The store knows that it may hold runs of ours.
-  bool HasUnsizedRun = false;   ///< It holds a run whose size nobody knows.
+  bool IsSelected = false;    ///< It is to be used: noted in the store, then asked what it holds.
+  bool HasReported = false;   ///< It has answered this scheduler; its attempts are known.
+  bool IsResponsive = true;   ///< The last call to it was answered.
+  bool IsRecorded = false;    ///< The store knows that it may hold runs of ours.
+  bool HasUnsizedRun = false; ///< It holds a run whose size nobody knows.
   Resources Booked;
   Resources Planned;
   Resources Preemptible; ///< The most that stopping work here could free.
-  Resources Claimed;   ///< Of its free room, what questions under way are likely to take.
+  Resources Claimed;     ///< Of its free room, what questions under way are likely to take.
   std::map<RunKey, Attempt> Attempts;
-  uint64_t LastEndNumber = 0;                              ///< Highest number of an end dealt with.
-  std::deque<std::pair<uint64_t, uint64_t>> UnsavedEnds; ///< Number of an end, and the save it needs.
-  uint64_t ForgetThrough = 0;                        ///< Ends up to here are saved.
-  TimePoint LeaseEnd{};                              ///< By then everything on it has been killed.
+  uint64_t LastEndNumber = 0; ///< Highest number of an end dealt with.
+  std::deque<std::pair<uint64_t, uint64_t>>
+      UnsavedEnds;            ///< Number of an end, and the save it needs.
+  uint64_t ForgetThrough = 0; ///< Ends up to here are saved.
+  TimePoint LeaseEnd{};       ///< By then everything on it has been killed.
   int ConsecutiveFailures = 0;
   TimePoint QuarantinedUntil{};
-  TimePoint ReportAskedAt{};  ///< When it was asked for its last report.
-  TimePoint LeavesAt{};    ///< While it drains: it does not leave before.
-  TimePoint SlowUntil{};   ///< Since it began its life not long ago.
-  bool InEvacuatedZone = false;  ///< Operators want its availability zone empty.
-  TimePoint UnlistedAt{};  ///< When it was found missing in the platform's list.
-  uint32_t IsolatedStarts = 0;     ///< While there is one, nothing else begins here.
-  TimePoint SilentSince{}; ///< When a silence was first counted since it was heard; or 0.
+  TimePoint ReportAskedAt{};        ///< When it was asked for its last report.
+  TimePoint LeavesAt{};             ///< While it drains: it does not leave before.
+  TimePoint SlowUntil{};            ///< Since it began its life not long ago.
+  bool InEvacuatedZone = false;     ///< Operators want its availability zone empty.
+  TimePoint UnlistedAt{};           ///< When it was found missing in the platform's list.
+  uint32_t IsolatedStarts = 0;      ///< While there is one, nothing else begins here.
+  TimePoint SilentSince{};          ///< When a silence was first counted since it was heard; or 0.
   bool HasUncountedSilence = false; ///< That has still to be counted against what began here.
 };
 
@@ -174,14 +176,16 @@
 struct TaskState {
   bool Done = false;
   Worker *AssignedWorker = nullptr; ///< Where its attempt is; null: none.
-  uint32_t Run = 0;     ///< The run of its attempt, or the last one.
+  uint32_t Run = 0;                 ///< The run of its attempt, or the last one.
   std::string Checkpoint;
   std::set<uint32_t> FailedRuns;
-  bool MayRunOnUnreportedWorker = false; ///< An earlier scheduler may have it on a worker not heard yet.
+  bool MayRunOnUnreportedWorker =
+      false; ///< An earlier scheduler may have it on a worker not heard yet.
   bool MayBeStartedByPredecessor = false; ///< The scheduler before may still start it where nobody
                                           ///< has heard of this one yet.
   TimePoint NotBefore{};
-  uint32_t StartupCrashes = 0; ///< Workers in a row that crashed, or fell silent for good, as it began.
+  uint32_t StartupCrashes =
+      0; ///< Workers in a row that crashed, or fell silent for good, as it began.
   std::vector<std::string> SuspectWorkers;  ///< Of them, those that may not have crashed under it,
   std::vector<std::string> VanishedWorkers; ///< and those that have left the list without a word,
                                             ///< and count as crashed unless they are heard again.
@@ -191,8 +195,9 @@
                                   ///< have been started since, which may crash of it; or empty.
   std::string InheritedStartWorker; ///< Of `SuspectWorkers`, the `PendingStartWorker` of an earlier
                                     ///< scheduler; or empty.
-  uint64_t CrashCountSave = 0; ///< The save of these that has to be durable before it is started again.
-  bool HasStalled = false;       ///< A run of it was stopped because it made no progress.
+  uint64_t CrashCountSave =
+      0;                   ///< The save of these that has to be durable before it is started again.
+  bool HasStalled = false; ///< A run of it was stopped because it made no progress.
   const Worker *FailedOn = nullptr; ///< Compared only.
   TimePoint FailedAt{};             ///< Its last failure.
 };
@@ -360,8 +365,8 @@
     RunKey Run;
     std::string Worker;
     WorkerEnd Cause = WorkerEnd::LeaseExpired;
-    Milliseconds RunTime{0};  ///< From the order, or its answer, to when the worker was last heard.
-    uint32_t StartupCrashes = 0; ///< Of the task, as in `TaskState`.
+    Milliseconds RunTime{0}; ///< From the order, or its answer, to when the worker was last heard.
+    uint32_t StartupCrashes = 0;     ///< Of the task, as in `TaskState`.
     uint32_t UnconfirmedCrashes = 0; ///< The size of `TaskState::SuspectWorkers`.
     uint32_t WeightedCrashes = 0;
   };
@@ -468,7 +473,7 @@
 bool hasUnreportedWorkers(const CellState &Cell, const std::string &Service);
 /// Another life answers at its address, or its lease has surely run out and it is gone.
 void workerEnded(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
-                WorkerEnd How = WorkerEnd::Replaced);
+                 WorkerEnd How = WorkerEnd::Replaced);
 /// A lease until \p End, as the process reckons it, may have reached the worker.
 void workerLeased(CellState &Cell, const std::string &Id, TimePoint End);
 void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult Answer,
--- a/src/scheduler/advice.cpp
+++ b/src/scheduler/advice.cpp
@@ -385,8 +385,9 @@
 // the workers have answered would hold up those that need it.
 bool shouldRequestAdvice(const PlacementPass &Pass, const Job &J, const StepState &Step) {
   return Pass.ReportPendingServices.count(J.Spec->Service) == 0 ||
-         std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
-                     [](const TaskState &Task) { return !Task.AssignedWorker && !Task.MayRunOnUnreportedWorker; });
+         std::any_of(Step.Tasks.begin(), Step.Tasks.end(), [](const TaskState &Task) {
+           return !Task.AssignedWorker && !Task.MayRunOnUnreportedWorker;
+         });
 }
 
 const AdviceState::Permit *findPermit(const StepState &Step, const Worker &W) {
--- a/src/scheduler/crash_count.cpp
+++ b/src/scheduler/crash_count.cpp
@@ -34,12 +34,15 @@
     Task->InheritedStartWorker.clear();
   requestSave(Cell, *Of, Out);
   Task->CrashCountSave = Of->PendingSave;
-  Out.CrashCountChanges.push_back({Key, Worker, Why, Task->StartupCrashes, unconfirmedCrashes(*Task)});
+  Out.CrashCountChanges.push_back(
+      {Key, Worker, Why, Task->StartupCrashes, unconfirmedCrashes(*Task)});
 }
 
 // One silence alone may be a cut link. Work that a cut worker had just begun is not held back for
 // it where the store can't be written.
-bool needsDurableCount(const TaskState &Task) { return Task.StartupCrashes > 1 || unconfirmedCrashes(Task) < Task.StartupCrashes; }
+bool needsDurableCount(const TaskState &Task) {
+  return Task.StartupCrashes > 1 || unconfirmedCrashes(Task) < Task.StartupCrashes;
+}
 
 } // namespace
 
@@ -48,7 +51,9 @@
   return Step && Key.Index < Step->Tasks.size() ? &Step->Tasks[Key.Index] : nullptr;
 }
 
-uint32_t unconfirmedCrashes(const TaskState &Task) { return static_cast<uint32_t>(Task.SuspectWorkers.size()); }
+uint32_t unconfirmedCrashes(const TaskState &Task) {
+  return static_cast<uint32_t>(Task.SuspectWorkers.size());
+}
 
 bool countsCrashOf(const TaskState &Task, const Worker &On) {
   const auto Names = [&](const std::vector<std::string> &Workers) {
@@ -57,13 +62,15 @@
   return Names(Task.SuspectWorkers) || Names(Task.VanishedWorkers);
 }
 
-void indexSuspectWorker(CellState &Cell, const TaskKey &Key, const std::string &Worker, TimePoint Now) {
+void indexSuspectWorker(CellState &Cell, const TaskKey &Key, const std::string &Worker,
+                        TimePoint Now) {
   SuspectWorker &Suspect = Cell.Doubted[Worker];
   Suspect.LastSuspectedAt = std::max(Suspect.LastSuspectedAt, Now);
   Suspect.Tasks.insert(Key);
 }
 
-void suspectCrash(CellState &Cell, const TaskKey &Key, const Worker &On, TimePoint Now, Effects &Out) {
+void suspectCrash(CellState &Cell, const TaskKey &Key, const Worker &On, TimePoint Now,
+                  Effects &Out) {
   const std::string &Id = On.Info.Id;
   changeCount(Cell, Key, Id, Out, [&](TaskState &Task) {
     ++Task.StartupCrashes;
@@ -73,8 +80,8 @@
   });
 }
 
-void confirmCrash(CellState &Cell, const TaskKey &Key, const Worker &On, WorkerEnd How, TimePoint Now,
-             Effects &Out) {
+void confirmCrash(CellState &Cell, const TaskKey &Key, const Worker &On, WorkerEnd How,
+                  TimePoint Now, Effects &Out) {
   const std::string &Id = On.Info.Id;
   changeCount(Cell, Key, Id, Out, [&](TaskState &Task) {
     if (std::erase(Task.SuspectWorkers, Id) == 0)
--- a/src/scheduler/crash_count_test.cpp
+++ b/src/scheduler/crash_count_test.cpp
@@ -185,7 +185,9 @@
   ASSERT_TRUE(Given.advanceUntilRuns(Id));
   const std::string CutWorker = Given.workerOf(Id);
   Given.fallSilent(CutWorker);
-  const auto RunsElsewhere = [&] { return Given.workerOf(Id) != CutWorker && !Given.workerOf(Id).empty(); };
+  const auto RunsElsewhere = [&] {
+    return Given.workerOf(Id) != CutWorker && !Given.workerOf(Id).empty();
+  };
   for (Milliseconds T{0}; T < 9s && !RunsElsewhere(); T += 10ms)
     Given.advance(10ms); // until its lease is over
   ASSERT_TRUE(RunsElsewhere());
@@ -204,7 +206,8 @@
   CrashScene Given(2);
   const JobId Id = submitCrashedOnce(Given);
   ASSERT_TRUE(Given.advanceUntilRuns(Id));
-  Given.ActiveRuns[Given.workerOf(Id)].clear(); // the order was lost, which this scheduler never learns
+  Given.ActiveRuns[Given.workerOf(Id)]
+      .clear(); // the order was lost, which this scheduler never learns
   Given.takeOver();
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -37,11 +37,15 @@
 }
 
 bool crashesWorkers(const SchedulerLimits &Limits, const TaskState &Task, bool IsLasting) {
-  const uint32_t WithoutInherited = Task.StartupCrashes - (Task.InheritedStartWorker.empty() ? 0 : 1);
+  const uint32_t WithoutInherited =
+      Task.StartupCrashes - (Task.InheritedStartWorker.empty() ? 0 : 1);
   const bool IsConfirmed =
-      WithoutInherited >= Limits.MaxStartupCrashes && Task.StartupCrashes - unconfirmedCrashes(Task) >= Limits.MinConfirmedCrashes;
-  const bool IsOverStartLimit = WithoutInherited >= Limits.MaxUnconfirmedCrashes || Task.StartupCrashes >= Limits.MaxCrashesWithInherited;
-  return IsConfirmed || IsOverStartLimit || (!IsLasting && Task.WeightedCrashes >= Limits.MaxWeightedCrashes);
+      WithoutInherited >= Limits.MaxStartupCrashes &&
+      Task.StartupCrashes - unconfirmedCrashes(Task) >= Limits.MinConfirmedCrashes;
+  const bool IsOverStartLimit = WithoutInherited >= Limits.MaxUnconfirmedCrashes ||
+                                Task.StartupCrashes >= Limits.MaxCrashesWithInherited;
+  return IsConfirmed || IsOverStartLimit ||
+         (!IsLasting && Task.WeightedCrashes >= Limits.MaxWeightedCrashes);
 }
 
 // Without this a task that crashes its workers takes one after the other, and all that runs there,
@@ -52,24 +56,27 @@
   if (!Of || Task->Done || Of->Phase != JobPhase::Live ||
       !crashesWorkers(Cell.Limits, *Task, findStep(Cell, Key.Step)->Spec->Lasting))
     return;
-  Out.TasksGivenUp.push_back({Key, Task->StartupCrashes, unconfirmedCrashes(*Task), Task->WeightedCrashes});
+  Out.TasksGivenUp.push_back(
+      {Key, Task->StartupCrashes, unconfirmedCrashes(*Task), Task->WeightedCrashes});
   endJob(Cell, *Of, JobPhase::Failed, "a task of it crashes its workers", Now, Out);
 }
 
-void noteLostRun(CellState &Cell, const Worker &On, const RunKey &Run, WorkerEnd How, Effects &Out) {
+void noteLostRun(CellState &Cell, const Worker &On, const RunKey &Run, WorkerEnd How,
+                 Effects &Out) {
   const Attempt &Entry = On.Attempts.at(Run);
   const TaskState *Task = findTask(Cell, Run.Task);
   if (Entry.Phase == AttemptPhase::Planned || !Task)
     return;
   const TimePoint Began = Entry.StartedAt == TimePoint{} ? Entry.PhaseSince : Entry.StartedAt;
   const auto Ran = std::chrono::duration_cast<Milliseconds>(On.ReportAskedAt - Began);
-  Out.LostRuns.push_back({Run, On.Info.Id, How, std::max(Ran, Milliseconds(0)), Task->StartupCrashes,
-                        unconfirmedCrashes(*Task), Task->WeightedCrashes});
+  Out.LostRuns.push_back({Run, On.Info.Id, How, std::max(Ran, Milliseconds(0)),
+                          Task->StartupCrashes, unconfirmedCrashes(*Task), Task->WeightedCrashes});
 }
 
 // True if the run, of which nothing was heard since, may have been done by then.
 bool mayBeDone(const Attempt &Entry, TimePoint Then) {
-  return Entry.StartedAt != TimePoint{} && Then - Entry.StartedAt >= Entry.Estimate * MinDoneFraction;
+  return Entry.StartedAt != TimePoint{} &&
+         Then - Entry.StartedAt >= Entry.Estimate * MinDoneFraction;
 }
 
 // True if the run was there when its worker went. An order without an answer may have come too
@@ -92,12 +99,13 @@
 
 // The worker has crashed under the run, which was the only one there or not.
 void countCrash(CellState &Cell, const Worker &On, const RunKey &Run, WorkerEnd How, bool Alone,
-               TimePoint Now, Effects &Out) {
+                TimePoint Now, Effects &Out) {
   const Attempt &Entry = On.Attempts.at(Run);
   TaskState *Task = findTask(Cell, Run.Task);
   if (!Task || Entry.Phase == AttemptPhase::Planned)
     return;
-  if (How == WorkerEnd::Replaced && wasRunningAtLoss(On, Entry, Now)) // kept with the next save of its job
+  if (How == WorkerEnd::Replaced &&
+      wasRunningAtLoss(On, Entry, Now)) // kept with the next save of its job
     Task->WeightedCrashes += Alone ? SoleRunCrashWeight : SharedCrashWeight;
   if (isInStartup(Entry) && wasInStartupAtLoss(On, Entry, Now))
     confirmCrash(Cell, Run.Task, On, How, Now, Out);
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -155,7 +155,8 @@
   if (!First.AssignedWorker || Step.BookedTasks < Step.Tasks.size())
     return false;
   const auto Found = First.AssignedWorker->Attempts.find({{Step.Key, 0}, First.Run});
-  return Found != First.AssignedWorker->Attempts.end() && Found->second.Phase == AttemptPhase::Planned;
+  return Found != First.AssignedWorker->Attempts.end() &&
+         Found->second.Phase == AttemptPhase::Planned;
 }
 
 // Members whose room is only held go when others of the plan have lost theirs with their worker.
--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -66,7 +66,8 @@
       for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
         const Attempt *A = attemptOf(Step, I);
         if (A && A->EndExpectedSince == TimePoint{})
-          stopAttempt(Cell, *Step.Tasks[I].AssignedWorker, {{Step.Key, I}, Step.Tasks[I].Run}, Why, Now, Out);
+          stopAttempt(Cell, *Step.Tasks[I].AssignedWorker, {{Step.Key, I}, Step.Tasks[I].Run}, Why,
+                      Now, Out);
       }
     }
 }
@@ -76,7 +77,8 @@
                        Effects &Out) {
   const TaskState &Task = Step.Tasks[Ended.Task.Index];
   if (Task.AssignedWorker && Task.Run != Ended.Run)
-    stopAttempt(Cell, *Task.AssignedWorker, {Ended.Task, Task.Run}, "an earlier run is done", Now, Out);
+    stopAttempt(Cell, *Task.AssignedWorker, {Ended.Task, Task.Run}, "an earlier run is done", Now,
+                Out);
 }
 
 void stepDone(CellState &Cell, Job &J, RoundState &Round, TimePoint Now, Effects &Out) {
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -41,7 +41,7 @@
   const Milliseconds Left = Entry.Estimate * (100 - Entry.Percent) / 100;
   // Nobody says when a zone that is emptied goes: what would take longer to move than to end stays.
   return On.Info.Draining || !On.InEvacuatedZone ? In.Now + Left > On.LeavesAt
-                                           : Left > In.Cell.Limits.PreemptionMargin;
+                                                 : Left > In.Cell.Limits.PreemptionMargin;
 }
 
 // A place for a run that is to be moved, ready to be taken. Advice and tickets that are missing are
@@ -70,8 +70,8 @@
   const Job &Of = In.Cell.Jobs.at(Step->Key.Job);
   if (Of.Phase == JobPhase::Live && hasPlaceElsewhere(In, Of, *Step, Step->Tasks[Run.Task.Index]))
     stopAttempt(In.Cell, On, Run,
-                On.InEvacuatedZone ? "its availability zone is emptied" : "its worker leaves", In.Now,
-                In.Out);
+                On.InEvacuatedZone ? "its availability zone is emptied" : "its worker leaves",
+                In.Now, In.Out);
 }
 } // namespace
 
--- a/src/scheduler/organisations.cpp
+++ b/src/scheduler/organisations.cpp
@@ -62,7 +62,8 @@
   uint32_t Count = 0;
   for (const TaskState &Task : Step.Tasks)
     if (!Task.Done && !Task.AssignedWorker &&
-        ((Task.MayRunOnUnreportedWorker && HasUnreported) || (Task.MayBeStartedByPredecessor && HasPendingReport)))
+        ((Task.MayRunOnUnreportedWorker && HasUnreported) ||
+         (Task.MayBeStartedByPredecessor && HasPendingReport)))
       ++Count;
   return Count;
 }
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -75,8 +75,9 @@
 bool isPlaceable(const PlacementPass &Pass, const Job &J, const StepState &Step, uint32_t Index) {
   const TaskState &Task = Step.Tasks[Index];
   const std::string &Service = J.Spec->Service;
-  const bool MayRun = (Task.MayRunOnUnreportedWorker && Pass.UnreportedServices.count(Service) > 0) ||
-                      (Task.MayBeStartedByPredecessor && Pass.ReportPendingServices.count(Service) > 0);
+  const bool MayRun =
+      (Task.MayRunOnUnreportedWorker && Pass.UnreportedServices.count(Service) > 0) ||
+      (Task.MayBeStartedByPredecessor && Pass.ReportPendingServices.count(Service) > 0);
   return !Task.Done && !Task.AssignedWorker && !MayRun && Task.NotBefore <= Pass.Now &&
          !awaitsCrashCountSave(Pass.Cell, Task) && !hasOrphanedRun(Pass.Cell, {Step.Key, Index});
 }
@@ -101,7 +102,8 @@
     else if (!hasTicket(Pass, J, Step, *W))
       NoTicket.push_back(W->Info.Id);
     else if (fits(A.Need, W->Info.Capacity - W->Booked) &&
-             (!A.OnTrial || (hasNoOtherStartups(*W, &Run) && mayStartNow(Pass.Cell, Run.Task, *W, Pass.Out))))
+             (!A.OnTrial ||
+              (hasNoOtherStartups(*W, &Run) && mayStartNow(Pass.Cell, Run.Task, *W, Pass.Out))))
       orderStart(Pass, J, Step, I, *W, A);
   }
   std::sort(NoTicket.begin(), NoTicket.end());
@@ -190,8 +192,9 @@
 
 // True if the step has a task that still has to be placed or launched.
 bool hasUnstartedTasks(const StepState &Step) {
-  return Step.PlannedTasks > 0 || std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
-                                              [](const TaskState &T) { return !T.Done && !T.AssignedWorker; });
+  return Step.PlannedTasks > 0 ||
+         std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
+                     [](const TaskState &T) { return !T.Done && !T.AssignedWorker; });
 }
 } // namespace
 
--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -118,8 +118,9 @@
 }
 
 uint32_t countTasksOn(const StepState &Step, const Worker &W) {
-  return static_cast<uint32_t>(std::count_if(Step.Tasks.begin(), Step.Tasks.end(),
-                                             [&](const TaskState &Task) { return Task.AssignedWorker == &W; }));
+  return static_cast<uint32_t>(
+      std::count_if(Step.Tasks.begin(), Step.Tasks.end(),
+                    [&](const TaskState &Task) { return Task.AssignedWorker == &W; }));
 }
 
 bool isAtTaskLimit(const StepState &Step, const Worker &W) {
--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -42,10 +42,10 @@
   WorkerModel Model;
   WorkerInfo Info;
   bool Dead = false;
-  bool IsReplaced = false;      ///< It crashed, and another life answers in its place.
-  bool RefusesConnections = false;         ///< It crashed, and nothing listens there.
-  bool Crashed = false;         ///< By a task; nothing answers until it is replaced.
-  Resources PreviousCapacity;             ///< Its capacity counts as this one
+  bool IsReplaced = false;               ///< It crashed, and another life answers in its place.
+  bool RefusesConnections = false;       ///< It crashed, and nothing listens there.
+  bool Crashed = false;                  ///< By a task; nothing answers until it is replaced.
+  Resources PreviousCapacity;            ///< Its capacity counts as this one
   Milliseconds PreviousCapacityUntil{0}; ///< until then: that it shrank has to be heard of.
   Milliseconds UnreachableUntil{0};
   bool ListedGone = false;
@@ -165,12 +165,14 @@
       Next.Names.insert("z" + std::to_string(Which));
     for (const std::string &Zone : Next.Names)
       EvacuatedSince.try_emplace(Zone, Now);
-    std::erase_if(EvacuatedSince, [&](const auto &Entry) { return !Next.Names.count(Entry.first); });
+    std::erase_if(EvacuatedSince,
+                  [&](const auto &Entry) { return !Next.Names.count(Entry.first); });
     Zones = Next;
     constexpr int64_t MaxPropagationMs = 400;
     for (const ProcessPtr &Of : {Current, Previous})
       if (Of)
-        after(Milliseconds(std::uniform_int_distribution<int64_t>(0, MaxPropagationMs)(ScenarioRandom)),
+        after(Milliseconds(
+                  std::uniform_int_distribution<int64_t>(0, MaxPropagationMs)(ScenarioRandom)),
               [Of, Next] { evacuate(Of->Cell, Next); });
   }
 
@@ -195,7 +197,8 @@
       Sum += specOf(Key.Task.Step).Need;
       OfStep += Key.Task.Step == Run.Task.Step ? 1 : 0;
     }
-    if (!fits(Sum, On.Info.Capacity) && !(Now < On.PreviousCapacityUntil && fits(Sum, On.PreviousCapacity)))
+    if (!fits(Sum, On.Info.Capacity) &&
+        !(Now < On.PreviousCapacityUntil && fits(Sum, On.PreviousCapacity)))
       addViolation("LIMIT", Run);
     checkQuota(*Of.Spec, Run);
     if (Step.MostPerWorker > 0 && OfStep > Step.MostPerWorker)
@@ -255,8 +258,9 @@
     if (Which->Dead)
       return;
     const bool CountsStill = Now < Which->PreviousCapacityUntil;
-    Which->PreviousCapacity =
-        CountsStill ? componentMax(Which->PreviousCapacity, Which->Info.Capacity) : Which->Info.Capacity;
+    Which->PreviousCapacity = CountsStill
+                                  ? componentMax(Which->PreviousCapacity, Which->Info.Capacity)
+                                  : Which->Info.Capacity;
     Which->PreviousCapacityUntil = Now + PropagationLimit;
     Which->Info.Capacity = Draw(1) == 0 ? Resources{4000, 4000, 0} : Resources{8000, 8000, 0};
     after(Milliseconds(Draw(1500)), [this, Which] {
@@ -376,8 +380,8 @@
   }
 
   void addViolation(const std::string &Rule, const RunKey &Run) {
-    Violations.push_back(Rule + " at " + std::to_string(Now.count()) + " ms: " + toString(Run.Task) +
-                     " run " + std::to_string(Run.Run));
+    Violations.push_back(Rule + " at " + std::to_string(Now.count()) +
+                         " ms: " + toString(Run.Task) + " run " + std::to_string(Run.Run));
   }
 
   // The process around the decisions.
@@ -412,8 +416,8 @@
     for (const Effects::LostRun &What : Out.LostRuns)
       if (What.Run.Task.Step.Job == TracedJob)
         Line(What.Run.Task) << "run " << What.Run.Run << " lost with " << What.Worker << ", "
-                            << toString(What.Cause) << ", ran " << What.RunTime.count() << " ms, losses "
-                            << What.WeightedCrashes << "\n";
+                            << toString(What.Cause) << ", ran " << What.RunTime.count()
+                            << " ms, losses " << What.WeightedCrashes << "\n";
     for (const Effects::CrashCountChange &What : Out.CrashCountChanges)
       if (What.Task.Step.Job == TracedJob)
         Line(What.Task) << What.Why << " on " << What.Worker << ", crashes " << What.StartupCrashes
@@ -427,7 +431,9 @@
     if (FaultsOver || !chance(0.08))
       return CallOutcome::Delivered;
     const int64_t Which = upTo(2);
-    return Which == 0 ? CallOutcome::AnswerLost : Which == 1 ? CallOutcome::Lost : CallOutcome::Late;
+    return Which == 0   ? CallOutcome::AnswerLost
+           : Which == 1 ? CallOutcome::Lost
+                        : CallOutcome::Late;
   }
 
   Milliseconds workerTime(const Process &Of, const std::string &Id) const {
@@ -561,7 +567,7 @@
   }
 
   void deliverReport(const ProcessPtr &Of, const std::string &Id,
-                 const std::optional<WorkerReport> &Report, TimePoint AskedAt) {
+                     const std::optional<WorkerReport> &Report, TimePoint AskedAt) {
     if (Of->HasEnded)
       return;
     Effects Out;
@@ -931,7 +937,7 @@
   int LastBox = 0;
   ProcessPtr Current;
   ProcessPtr Previous;
-  EvacuatedZones Zones;                           ///< As the store has them,
+  EvacuatedZones Zones;                               ///< As the store has them,
   std::map<std::string, Milliseconds> EvacuatedSince; ///< and since when each of them is.
   /// By organisation: what it may have running of each kind, and until when a scheduler may go by
   /// it.
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -160,7 +160,7 @@
 }
 
 void processEnds(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint Now,
-              Effects &Out) {
+                 Effects &Out) {
   for (const EndedRun &End : Report.Ended) {
     if (End.Number <= On.LastEndNumber)
       continue;
@@ -182,7 +182,7 @@
 
 // Runs that were stopped without ever having begun are in no list.
 void dropNeverStarted(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint AskedAt,
-                    TimePoint Now, Effects &Out) {
+                      TimePoint Now, Effects &Out) {
   const auto IsActive = [&](const RunKey &Run) {
     return std::any_of(Report.Active.begin(), Report.Active.end(),
                        [&](const ActiveRun &Row) { return Row.Run == Run; });
@@ -208,7 +208,7 @@
 }
 
 void startRefused(CellState &Cell, Worker &On, const RunKey &Run, StartResult Answer, TimePoint Now,
-             Effects &Out) {
+                  Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (AdviceState::Permit *Used = Step ? findPermit(*Step, On) : nullptr;
       Used && Answer == StartResult::RefusedTicket)
@@ -292,8 +292,9 @@
   On.Attempts.erase(Found);
   Cell.OrphanedRuns.erase(Run);
   if (On.HasUnsizedRun)
-    On.HasUnsizedRun = std::any_of(On.Attempts.begin(), On.Attempts.end(),
-                          [](const auto &Entry) { return Entry.second.Need == Resources{}; });
+    On.HasUnsizedRun = std::any_of(On.Attempts.begin(), On.Attempts.end(), [](const auto &Entry) {
+      return Entry.second.Need == Resources{};
+    });
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (!Step || Run.Task.Index >= Step->Tasks.size())
     return;
@@ -394,7 +395,8 @@
     On->LeaseEnd = std::max(On->LeaseEnd, End);
 }
 
-void workerEnded(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out, WorkerEnd How) {
+void workerEnded(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
+                 WorkerEnd How) {
   Worker *On = findWorker(Cell, Id);
   if (!On)
     return;
--- a/testsuite/replay/crash_scene.h
+++ b/testsuite/replay/crash_scene.h
@@ -237,7 +237,8 @@
       return "";
     const StepState &Step = Found->second.Rounds.at(0).Steps[0];
     const Attempt *What = attemptOf(Step, Index);
-    return What && What->Phase == AttemptPhase::Running ? Step.Tasks[Index].AssignedWorker->Info.Id : "";
+    return What && What->Phase == AttemptPhase::Running ? Step.Tasks[Index].AssignedWorker->Info.Id
+                                                        : "";
   }
 
   size_t startsOf(JobId Id) const {
@@ -257,7 +258,7 @@
   std::map<std::string, std::set<RunKey>> ActiveRuns;
   std::set<std::string> Silent;
   std::set<std::string> Refusing; ///< Workers that refuse all starts.
-  std::set<JobId> CrashingJobs;       ///< Jobs whose tasks crash their workers as they begin.
+  std::set<JobId> CrashingJobs;   ///< Jobs whose tasks crash their workers as they begin.
   Milliseconds UnlistDelay{4500};
   Milliseconds RestartDelay{3000};
   std::multimap<TimePoint, std::function<void()>> ScheduledEvents;
--- a/testsuite/replay/load_replay.cpp
+++ b/testsuite/replay/load_replay.cpp
@@ -50,9 +50,9 @@
     Spec->AcceptedAt =
         Cell.Wall + std::chrono::duration_cast<WallTime::duration>(Now - Cell.WallAt);
     if (Of.AdviceBaseTime.count() > 0)
-      Spec->Advice =
-          AdvicePolicy{Of.AdviceBaseTime, std::chrono::duration<double, std::milli>(Of.AdvicePerWorkerMs),
-                       Setting.TicketLifetime};
+      Spec->Advice = AdvicePolicy{Of.AdviceBaseTime,
+                                  std::chrono::duration<double, std::milli>(Of.AdvicePerWorkerMs),
+                                  Setting.TicketLifetime};
     Spec->Steps.push_back(Of.Step);
     addJob(Cell, Spec, ++Revision, true, Now);
     Results.at(Id).SubmittedAt = Now;
--- a/testsuite/replay/load_replay.h
+++ b/testsuite/replay/load_replay.h
@@ -19,11 +19,11 @@
 struct ReplaySetting {
   int Workers = 100;
   Resources WorkerSize{64000, 262144, 0};
-  uint32_t Lanes = 100;          ///< Questions that can be asked at a time, as the cell knows it;
-  uint32_t DeadLanes = 0;        ///< so many of them get no answer any more and are left out.
-  Milliseconds OrderLatency{2};     ///< From an order to its answer.
+  uint32_t Lanes = 100;         ///< Questions that can be asked at a time, as the cell knows it;
+  uint32_t DeadLanes = 0;       ///< so many of them get no answer any more and are left out.
+  Milliseconds OrderLatency{2}; ///< From an order to its answer.
   Milliseconds TicketLifetime{1500}; ///< How long a ticket holds.
-  Milliseconds FaultyRunTime{20};  ///< A run on a sick worker fails after this time.
+  Milliseconds FaultyRunTime{20};    ///< A run on a sick worker fails after this time.
   uint64_t Seed = 1;
 };
 
@@ -70,7 +70,7 @@
 private:
   struct Run {
     std::string Worker;
-    TimePoint WorkStartedAt{};         ///< When its work began; zero: it waits for its gang.
+    TimePoint WorkStartedAt{}; ///< When its work began; zero: it waits for its gang.
     Milliseconds TotalTime{0}; ///< That its work takes.
   };
   void after(Milliseconds Time, std::function<void()> What);
@@ -92,8 +92,9 @@
   uint64_t LastEvent = 0;
   std::map<std::pair<TimePoint, uint64_t>, std::function<void()>> Events;
   std::map<RunKey, Run> Runs; ///< At work or waiting for the rest of their gang.
-  std::map<std::pair<StepKey, uint32_t>, std::set<uint32_t>> StartedMembers; ///< Members of gang runs.
-  std::map<TaskKey, Milliseconds> SavedWork;    ///< Work that stopped runs have saved.
+  std::map<std::pair<StepKey, uint32_t>, std::set<uint32_t>>
+      StartedMembers;                             ///< Members of gang runs.
+  std::map<TaskKey, Milliseconds> SavedWork;      ///< Work that stopped runs have saved.
   std::map<std::string, uint64_t> LastEndNumbers; ///< By worker.
   std::map<JobId, ReplayKind> Kinds;
   std::map<JobId, ReplayedJob> Results;
