--- a/src/cell/cell_link.cpp
+++ b/src/cell/cell_link.cpp
@@ -17,7 +17,7 @@
 constexpr int HttpOk = 200;
 // Largest message of a peer: an answer of the store that is passed on, a megabyte by its own limit,
 // and room for its framing.
-constexpr size_t MostMessageBytes = 4 * 1024 * 1024;
+constexpr size_t MaxMessageBytes = 4 * 1024 * 1024;
 
 template <class Request, class Reply>
 Awaitable<Result<Reply>> call(HttpClient &Client, std::string_view Method, Endpoint To,
@@ -28,7 +28,7 @@
                    Message.SerializeAsString()};
   CallOptions Options;
   Options.Timeout = Timeout;
-  Options.MaxResponseBytes = MostMessageBytes;
+  Options.MaxResponseBytes = MaxMessageBytes;
   Options.Kind = "peer ";
   Options.Kind += Method;
   Result<HttpResponse> Answer = co_await Client.send(To, std::move(Call), Options);
@@ -41,7 +41,7 @@
   co_return Read;
 }
 
-Awaitable<Presence> listens(Endpoint To, Milliseconds Timeout) {
+Awaitable<ProbeResult> probe(Endpoint To, Milliseconds Timeout) {
   using asio::ip::tcp;
   const Executor Where = co_await asio::this_coro::executor;
   tcp::socket Socket(Where);
@@ -55,13 +55,13 @@
   auto [Failure] = co_await Socket.async_connect(Target, asio::as_tuple(asio::use_awaitable));
   Timer.cancel();
   if (Failure == asio::error::connection_refused)
-    co_return Presence::Refused;
-  co_return Failure ? Presence::Silent : Presence::Listens;
+    co_return ProbeResult::Refused;
+  co_return Failure ? ProbeResult::NoAnswer : ProbeResult::Listening;
 }
 
 } // namespace
 
-CellLink httpCell(HttpClient &Client) {
+CellLink makeHttpCellLink(HttpClient &Client) {
   CellLink Link;
   // One line a method; the template does the rest.
 #define VALVESHELF_CELL_CALL(Method)                                                               \
@@ -78,7 +78,7 @@
   VALVESHELF_CELL_CALL(Candidate);
   VALVESHELF_CELL_CALL(Configuration);
 #undef VALVESHELF_CELL_CALL
-  Link.Listens = [](Endpoint To, Milliseconds Timeout) { return listens(std::move(To), Timeout); };
+  Link.Probe = [](Endpoint To, Milliseconds Timeout) { return probe(std::move(To), Timeout); };
   return Link;
 }
 
@@ -88,7 +88,7 @@
       : Where(Where), Handlers(std::move(Handlers)),
         Server(Where, std::move(Address), Limits, [this](HttpExchange &E) { return serve(E); }) {
 #define VALVESHELF_CELL_METHOD(Method)                                                             \
-  Methods[#Method] = answerWith<cell::Method##Request>(this->Handlers.Method)
+  Methods[#Method] = makeMethodHandler<cell::Method##Request>(this->Handlers.Method)
     VALVESHELF_CELL_METHOD(Advise);
     VALVESHELF_CELL_METHOD(JobState);
     VALVESHELF_CELL_METHOD(Waiting);
@@ -103,9 +103,10 @@
   Result<Done> start() { return Server.start(); }
 
 private:
-  using Answerer = std::function<Awaitable<HttpResponse>(std::string Body)>;
+  using MethodHandler = std::function<Awaitable<HttpResponse>(std::string Body)>;
 
-  template <class Request, class Handler> static Answerer answerWith(const Handler &Handle) {
+  template <class Request, class Handler>
+  static MethodHandler makeMethodHandler(const Handler &Handle) {
     return [&Handle](std::string Body) -> Awaitable<HttpResponse> {
       Request Message;
       if (!Message.ParseFromString(Body))
@@ -124,7 +125,7 @@
       co_return co_await sendWhole(
           Exchange,
           errorResponse({ErrorKind::NotFound, "there is no method " + std::string(Path)}));
-    Result<std::string> Body = co_await readWhole(Exchange, MostMessageBytes);
+    Result<std::string> Body = co_await readWhole(Exchange, MaxMessageBytes);
     if (!ok(Body))
       co_return co_await sendWhole(Exchange, errorResponse(error(Body)));
     // On the strand of this process, where all state lives.
@@ -135,7 +136,7 @@
 
   const Executor Where;
   const CellHandlers Handlers;
-  std::map<std::string, Answerer, std::less<>> Methods; ///< By name; filled at the start only.
+  std::map<std::string, MethodHandler, std::less<>> Methods; ///< By name; filled at the start only.
   HttpServer Server;
 };
 
--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -130,7 +130,7 @@
 
   LeadershipLinks leadershipLinks() {
     LeadershipLinks Links;
-    Links.Listens = Peers.Listens;
+    Links.Probe = Peers.Probe;
     Links.CouldSchedule = [this](Endpoint To, uint64_t GoneTerm) -> Awaitable<bool> {
       cell::CandidateRequest Question;
       Question.set_gone_term(GoneTerm);
--- a/src/cell/leadership.cpp
+++ b/src/cell/leadership.cpp
@@ -86,13 +86,13 @@
     co_return;
   Probing = true;
   const Milliseconds Time = probeTime(Terms, Tools.Settings.Timing.LeaderLease, Tools.Time.Now());
-  const Presence Found = co_await Links.Listens(Suspect->Peers, Time);
+  const ProbeResult Found = co_await Links.Probe(Suspect->Peers, Time);
   Probing = false;
-  if (Found == Presence::Listens)
+  if (Found == ProbeResult::Listening)
     co_return;
   logEvent(events::SchedulerGone, {{"scheduler", Suspect->Name},
                                    {"term", std::to_string(Suspect->Term)},
-                                   {"refused", Found == Presence::Refused ? "yes" : "no"},
+                                   {"refused", Found == ProbeResult::Refused ? "yes" : "no"},
                                    {"probe_ms", std::to_string(Time.count())}});
   GoneTerm = Suspect->Term;
   tellStronger(*Suspect);
--- a/src/cell/leadership.h
+++ b/src/cell/leadership.h
@@ -16,7 +16,7 @@
 /// What leadership asks of other processes, and of its own way to the store.
 struct LeadershipLinks {
   /// Whether the process at an address listens.
-  std::function<Awaitable<Presence>(Endpoint To, Milliseconds Timeout)> Listens;
+  std::function<Awaitable<ProbeResult>(Endpoint To, Milliseconds Timeout)> Probe;
   /// Asks whether the process could schedule, and tells it that the scheduler of \p GoneTerm seems
   /// gone; 0: none does. Without an answer: false.
   std::function<Awaitable<bool>(Endpoint To, uint64_t GoneTerm)> CouldSchedule;
--- a/src/cell/leadership_test.cpp
+++ b/src/cell/leadership_test.cpp
@@ -49,9 +49,9 @@
         Burn,
         [] { return true; }};
     LeadershipLinks Links;
-    Links.Listens = [this](Endpoint, Milliseconds Time) -> Awaitable<Presence> {
+    Links.Probe = [this](Endpoint, Milliseconds Time) -> Awaitable<ProbeResult> {
       ProbeTimes.push_back(Time);
-      co_return PeerListens ? Presence::Listens : Presence::Silent;
+      co_return PeerListens ? ProbeResult::Listening : ProbeResult::NoAnswer;
     };
     Links.CouldSchedule = [this](Endpoint To, uint64_t GoneTerm) -> Awaitable<bool> {
       Asked.emplace_back(To, GoneTerm);
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -37,8 +37,9 @@
 EntryProcess::EntryProcess(Executor Where, EntrySettings Settings, Clock Time, Platform From,
                            HttpClient &Client)
     : Where(Where), Settings(std::move(Settings)), Time(std::move(Time)), From(std::move(From)),
-      Client(Client), Peers(grpcPeers(Where, PeerTimeout)), Watch(this->From.Store, this->Time),
-      Directory(this->Settings.Shards), Config(this->From.Store, this->Time, Peers, Watch),
+      Client(Client), Peers(makeGrpcPeerOps(Where, PeerTimeout)),
+      Watch(this->From.Store, this->Time), Directory(this->Settings.Shards),
+      Config(this->From.Store, this->Time, Peers, Watch),
       Requests({Where, this->Time, Client, Directory, [this] { return Config.inForce(); },
                 [this] { return Watch.view(); },
                 [this] {
@@ -180,8 +181,8 @@
   Result<wire::ExchangeReply> Reply = co_await Peers.Exchange(Peer.Peers, News);
   if (!ok(Reply)) {
     // A frozen or cut-off process still has its listener; only one that is gone refuses.
-    const PeerOps::Listening Heard = co_await Peers.Probe(Peer.Peers);
-    if (Heard == PeerOps::Listening::Refused && !Peer.Log.empty())
+    const PeerOps::ProbeResult Heard = co_await Peers.Probe(Peer.Peers);
+    if (Heard == PeerOps::ProbeResult::Refused && !Peer.Log.empty())
       Watch.noteGone(Peer.Log);
     co_return;
   }
--- a/src/entry/shard_runner.cpp
+++ b/src/entry/shard_runner.cpp
@@ -449,7 +449,7 @@
 Awaitable<void> ShardRunner::predecessorLoop(Self This) {
   while (!This->Stopped) {
     bool Gone =
-        co_await This->Tools.Peers.Probe(This->PredecessorAddress) == PeerOps::Listening::Refused;
+        co_await This->Tools.Peers.Probe(This->PredecessorAddress) == PeerOps::ProbeResult::Refused;
     if (!Gone) {
       wire::StepDownRequest Request;
       Request.set_log(This->Predecessor);
--- a/src/include/valveshelf/cell_link.h
+++ b/src/include/valveshelf/cell_link.h
@@ -14,10 +14,10 @@
 namespace valveshelf {
 
 /// What a probe of an address showed.
-enum class Presence {
-  Listens,
-  Refused, ///< The machine answers, and no process listens there.
-  Silent,  ///< No answer in time: gone, cut off, or behind a link that is full.
+enum class ProbeResult {
+  Listening,
+  Refused,  ///< The machine answers, and no process listens there.
+  NoAnswer, ///< No answer in time: gone, cut off, or behind a link that is full.
 };
 
 /// What this process answers to its peers; one function a method of the inner protocol.
@@ -47,10 +47,10 @@
   Call<cell::CandidateRequest, cell::CandidateReply> Candidate;
   Call<cell::ConfigurationRequest, cell::ConfigurationReply> Configuration;
   /// Whether a process listens there; a frozen one still does, a dead or cut off one does not.
-  std::function<Awaitable<Presence>(Endpoint To, Milliseconds Timeout)> Listens;
+  std::function<Awaitable<ProbeResult>(Endpoint To, Milliseconds Timeout)> Probe;
 };
 /// \p Client outlives the link.
-CellLink httpCell(HttpClient &Client);
+CellLink makeHttpCellLink(HttpClient &Client);
 
 /// The server for peers. Handlers run on \p Where.
 class CellServer {
--- a/src/include/valveshelf/peer_link.h
+++ b/src/include/valveshelf/peer_link.h
@@ -42,12 +42,12 @@
   std::function<Awaitable<Result<wire::HoldReply>>(Endpoint, wire::HoldRequest)> Hold;
   std::function<Awaitable<Result<wire::ConfigReply>>(Endpoint, wire::ConfigRequest)> Config;
   /// Whether a process listens at the address. A frozen one still does.
-  enum class Listening { Yes, Refused, NoAnswer };
-  std::function<Awaitable<Listening>(Endpoint)> Probe;
+  enum class ProbeResult { Listening, Refused, NoAnswer };
+  std::function<Awaitable<ProbeResult>(Endpoint)> Probe;
 };
 
 /// Peers over gRPC. \p Timeout bounds each call; a Forward carries its own deadline.
-PeerOps grpcPeers(Executor Where, Milliseconds Timeout);
+PeerOps makeGrpcPeerOps(Executor Where, Milliseconds Timeout);
 
 /// The server for peers. Listens from `start` until it is destroyed; the last thing that a
 /// process closes, so that a refused connection proves that the process is gone.
--- a/src/membership/peer_link.cpp
+++ b/src/membership/peer_link.cpp
@@ -80,7 +80,7 @@
   co_return Error{Kind, "peer " + toString(To) + ": " + Status.error_message()};
 }
 
-Awaitable<PeerOps::Listening> probe(Endpoint To, Milliseconds Timeout) {
+Awaitable<PeerOps::ProbeResult> probe(Endpoint To, Milliseconds Timeout) {
   using asio::ip::tcp;
   const Executor Where = co_await asio::this_coro::executor;
   tcp::socket Socket(Where);
@@ -94,14 +94,14 @@
   auto [Failure] = co_await Socket.async_connect(Target, asio::as_tuple(asio::use_awaitable));
   Timer.cancel();
   if (!Failure)
-    co_return PeerOps::Listening::Yes;
-  co_return Failure == asio::error::connection_refused ? PeerOps::Listening::Refused
-                                                       : PeerOps::Listening::NoAnswer;
+    co_return PeerOps::ProbeResult::Listening;
+  co_return Failure == asio::error::connection_refused ? PeerOps::ProbeResult::Refused
+                                                       : PeerOps::ProbeResult::NoAnswer;
 }
 
 } // namespace
 
-PeerOps grpcPeers(Executor Where, Milliseconds Timeout) {
+PeerOps makeGrpcPeerOps(Executor Where, Milliseconds Timeout) {
   auto Pool = std::make_shared<StubPool>();
   PeerOps Ops;
   // One line a method; the template does the rest.
--- a/src/ownership/fence.cpp
+++ b/src/ownership/fence.cpp
@@ -53,8 +53,8 @@
     Answer.Held.assign(value(Reply).unstored().begin(), value(Reply).unstored().end());
     co_return Answer;
   }
-  const PeerOps::Listening Listening = co_await Tools.Peers.Probe(value(Address));
-  Answer.Gone = Listening == PeerOps::Listening::Refused;
+  const PeerOps::ProbeResult Probed = co_await Tools.Peers.Probe(value(Address));
+  Answer.Gone = Probed == PeerOps::ProbeResult::Refused;
   Answer.Refused = Answer.Gone;
   Answer.Wait = Tools.Promise;
   co_return Answer;
--- a/src/ownership/fence_test.cpp
+++ b/src/ownership/fence_test.cpp
@@ -70,8 +70,8 @@
         co_return Error{ErrorKind::UpstreamUnavailable, "no answer"};
       co_return Found->second;
     };
-    Tools.Peers.Probe = [this](Endpoint To) -> Awaitable<PeerOps::Listening> {
-      co_return Closed.count(To) ? PeerOps::Listening::Refused : PeerOps::Listening::NoAnswer;
+    Tools.Peers.Probe = [this](Endpoint To) -> Awaitable<PeerOps::ProbeResult> {
+      co_return Closed.count(To) ? PeerOps::ProbeResult::Refused : PeerOps::ProbeResult::NoAnswer;
     };
   }
 
--- a/src/valveshelf/serve_command.cpp
+++ b/src/valveshelf/serve_command.cpp
@@ -83,8 +83,8 @@
                                 " peers=" + toString(Settings.Peers) +
                                 " store=" + toString(Settings.Store);
   CellPlatform From = connect(Client, Settings);
-  CellProcess Process(Where, std::move(Settings), Clock{}, std::move(From), httpCell(Client),
-                      Meter);
+  CellProcess Process(Where, std::move(Settings), Clock{}, std::move(From),
+                      makeHttpCellLink(Client), Meter);
   if (Result<Done> Started = Process.start(); !ok(Started)) {
     std::cerr << "valveshelf serve: " << error(Started).Detail << "\n";
     return answerFor(error(Started).Kind).ExitCode;
