--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -49,23 +49,24 @@
        const TrafficMeter &Meter)
       : Where(Where), Settings(std::move(Given)), Time(Time), From(std::move(From)),
         Peers(std::move(Link)), Meter(Meter),
-        Path(
-            Where, Time, this->From.StoreProbe, this->From.StoreCalls,
+        Router(
+            Where, Time, this->From.StoreProbe, this->From.CallStore,
             [this](Endpoint Peer, HttpRequest Request, Milliseconds Timeout) {
               return relay(std::move(Peer), std::move(Request), Timeout);
             },
             [this] { return otherPeers(); },
             [this](Steady::duration Took) { Metrics.observe(metrics::StoreSeconds, Took); }),
-        Store(this->From.OpenStore([this](StoreCall Call) { return Path.call(std::move(Call)); })),
+        Store(
+            this->From.OpenStore([this](StoreCall Call) { return Router.call(std::move(Call)); })),
         View(Where, Store, Settings, [this] { Lead.viewChanged(); }),
         Config(Where, Time, Store, Settings, this->From.Operators, this->From.DecodeConfiguration,
                configLinks()),
         In(
-            Where, Store, Time, Settings, [this] { return Path.isSilent(); },
+            Where, Store, Time, Settings, [this] { return Router.isUnresponsive(); },
             [this](IntakeNews News) { announce(std::move(News)); }),
         Lead(schedulerTools(), View, leadershipLinks()),
         Door(Settings, Time, callerCodec(), Store, Config, View, Lead, In, Peers,
-             [this] { return Path.retryAfter(); }),
+             [this] { return Router.retryAfter(); }),
         Callers(Where, Settings.Callers, serverLimits(),
                 [this](HttpExchange &E) { return serveCaller(E); }),
         Readiness(Where, Settings.Readiness, serverLimits(),
@@ -125,7 +126,7 @@
             From.DecodeWorker,
             Metrics,
             Burn,
-            [this] { return Time.Now() - Path.lastAnswer() < AnswersNow; }};
+            [this] { return Time.Now() - Router.lastAnswer() < AnswersNow; }};
   }
 
   LeadershipLinks leadershipLinks() {
@@ -138,7 +139,7 @@
           co_await Peers.Candidate(std::move(To), Question, CandidateTimeout);
       co_return ok(Reply) && value(Reply).could_schedule();
     };
-    Links.StoreIsStraight = [this] { return Path.isStraight(); };
+    Links.StoreIsStraight = [this] { return Router.isDirectlyReachable(); };
     return Links;
   }
 
@@ -378,7 +379,7 @@
     if (!Request.Body.empty())
       Request.Headers.emplace_back("Content-Type", "application/json");
     Result<HttpResponse> Answer =
-        co_await Path.callForPeer(std::move(Request), Milliseconds(Asked.timeout_ms()));
+        co_await Router.callForPeer(std::move(Request), Milliseconds(Asked.timeout_ms()));
     cell::StoreCallReply Reply;
     if (ok(Answer)) {
       Reply.set_status(value(Answer).Status);
@@ -457,7 +458,7 @@
   }
 
   Awaitable<void> serveReadiness(HttpExchange &Exchange) {
-    const bool Ready = !Stopping && Config.current() && Path.failingFor() < StoreSilence;
+    const bool Ready = !Stopping && Config.current() && Router.failingFor() < StoreSilence;
     if (Ready != WasReady)
       logEvent(
           Ready ? events::BecameReady : events::BecameUnready,
@@ -482,7 +483,7 @@
   const TrafficMeter &Meter;
   CellMetrics Metrics;
   BurnBook Burn; ///< Of what ended while this process scheduled; of the strand.
-  StorePath Path;
+  StoreRouter Router;
   const KeyValueStore Store;
   CellView View;
   ConfigWatch Config;
--- a/src/include/valveshelf/cell_process.h
+++ b/src/include/valveshelf/cell_process.h
@@ -22,8 +22,8 @@
 
 /// The platform as a cell process needs it.
 struct CellPlatform {
-  StorePath::Direct StoreCalls; ///< Straight to the store.
-  HttpRequest StoreProbe;       ///< A harmless read.
+  StoreRouter::DirectCall CallStore; ///< Straight to the store.
+  HttpRequest StoreProbe;            ///< A harmless read.
   std::function<KeyValueStore(StoreTransport)> OpenStore;
   WorkerLink Workers;
   AdviceLink Advice;
--- a/src/include/valveshelf/store_path.h
+++ b/src/include/valveshelf/store_path.h
@@ -28,27 +28,27 @@
 using StoreTransport = std::function<Awaitable<Result<HttpResponse>>(StoreCall Call)>;
 
 /// Lives on one strand; all calls come from there.
-class StorePath {
+class StoreRouter {
 public:
-  using Direct =
+  using DirectCall =
       std::function<Awaitable<Result<HttpResponse>>(HttpRequest Request, Milliseconds Timeout)>;
-  using Relay = std::function<Awaitable<Result<HttpResponse>>(Endpoint Peer, HttpRequest Request,
-                                                              Milliseconds Timeout)>;
+  using RelayCall = std::function<Awaitable<Result<HttpResponse>>(
+      Endpoint Peer, HttpRequest Request, Milliseconds Timeout)>;
 
   /// \p Peers lists the processes that could pass a call on. \p Probe is a harmless read that
   /// tells whether the store serves this box. Both transports outlive the path.
-  StorePath(Executor Where, Clock Time, HttpRequest Probe, Direct Straight, Relay Through,
-            std::function<std::vector<Endpoint>()> Peers,
-            std::function<void(Steady::duration)> Observe);
+  StoreRouter(Executor Where, Clock Time, HttpRequest Probe, DirectCall SendDirect,
+              RelayCall SendViaPeer, std::function<std::vector<Endpoint>()> Peers,
+              std::function<void(Steady::duration)> ObserveLatency);
 
   Awaitable<Result<HttpResponse>> call(StoreCall Call);
   /// A call for a peer: straight only, and only if the store answers this process.
   Awaitable<Result<HttpResponse>> callForPeer(HttpRequest Request, Milliseconds Timeout);
   /// True while calls are out and none has been answered for longer than the store ever takes;
   /// what is written now would have no certain outcome.
-  bool isSilent() const;
+  bool isUnresponsive() const;
   /// True if the store serves this process straight, as far as is known.
-  bool isStraight() const;
+  bool isDirectlyReachable() const;
   /// When a caller that was refused for want of the store should come again: after as long as the
   /// store has been away, since an outage of unknown length has about half of it left; 1 to 5 s.
   /// For a process that no store has answered yet it has been away since the process started.
@@ -60,33 +60,35 @@
   Steady::duration failingFor() const;
 
 private:
-  void noteFailure();
+  void recordFailure();
   Milliseconds timeoutFor(const StoreCall &Call) const;
-  void note(bool Answered, Milliseconds Took, Milliseconds Limit);
-  bool isTurnedAway(const Result<HttpResponse> &Answer) const;
-  Awaitable<Result<HttpResponse>> callThroughPeer(const StoreCall &Call, Milliseconds Timeout);
-  Awaitable<Result<HttpResponse>> callStraight(const StoreCall &Call, Milliseconds Timeout);
+  void recordLatency(bool Answered, Milliseconds Latency, Milliseconds Timeout);
+  bool isRejected(const Result<HttpResponse> &Answer) const;
+  Awaitable<Result<HttpResponse>> callViaPeer(const StoreCall &Call, Milliseconds Timeout);
+  Awaitable<Result<HttpResponse>> callDirect(const StoreCall &Call, Milliseconds Timeout);
   bool usesPeers() const;
-  Awaitable<void> probe();
+  Awaitable<void> probeLoop();
   Awaitable<void> probeOnce();
 
   const Executor Where;
   const Clock Time;
   const TimePoint StartedAt;
   const HttpRequest ProbeRequest;
-  const Direct Straight;
-  const Relay Through;
+  const DirectCall SendDirect;
+  const RelayCall SendViaPeer;
   const std::function<std::vector<Endpoint>()> Peers;
-  const std::function<void(Steady::duration)> Observe; ///< Told how long each plain call took.
-  double TypicalMs = 20;                               ///< Moving average of the time of an answer.
-  int FailuresInARow = 0;                              ///< Of straight calls.
+  const std::function<void(Steady::duration)>
+      ObserveLatency;           ///< Told how long each plain call took.
+  double AverageLatencyMs = 20; ///< Moving average of the time of an answer.
+  int ConsecutiveFailures = 0;  ///< Of straight calls.
   TimePoint LastDirectAnswer{};
   TimePoint LastAnswer{};
-  TimePoint FirstFailure{};          ///< Of those after the last answer; before it: none.
-  bool Probing = false;              ///< While peers are used: the store is tried straight.
-  std::multimap<TimePoint, int> Out; ///< Plain calls that wait for an answer, by their start.
+  TimePoint FirstFailure{}; ///< Of those after the last answer; before it: none.
+  bool Probing = false;     ///< While peers are used: the store is tried straight.
+  std::multimap<TimePoint, int>
+      PendingCalls; ///< Plain calls that wait for an answer, by their start.
   size_t NextPeer = 0;
-  TimePoint NoDetourUntil{}; ///< No peer was served either; calls fail at once until then.
+  TimePoint RelayBackoffUntil{}; ///< No peer was served either; calls fail at once until then.
 };
 
 } // namespace valveshelf
--- a/src/valveshelf/serve_command.cpp
+++ b/src/valveshelf/serve_command.cpp
@@ -25,7 +25,7 @@
 
 CellPlatform connect(HttpClient &Client, const CellSettings &Settings) {
   CellPlatform From;
-  From.StoreCalls = [&Client, Address = Settings.Store](HttpRequest Request, Milliseconds Timeout) {
+  From.CallStore = [&Client, Address = Settings.Store](HttpRequest Request, Milliseconds Timeout) {
     CallOptions Options;
     Options.Timeout = Timeout;
     Options.Kind = platform::storeCallKind(Request);
