--- a/src/cell/config_watch.cpp
+++ b/src/cell/config_watch.cpp
@@ -109,7 +109,7 @@
 }
 
 bool ConfigWatch::isTooOld() const {
-  const std::optional<Milliseconds> Most = Settings.Timing.KeysWithoutWord;
+  const std::optional<Milliseconds> Most = Settings.Timing.UnconfirmedKeysTime;
   return Most && Time.Now() - Confirmed > *Most;
 }
 
--- a/src/cell/config_watch_test.cpp
+++ b/src/cell/config_watch_test.cpp
@@ -137,7 +137,7 @@
   for (const bool Strict : {false, true}) {
     Bench Given;
     if (Strict)
-      Given.Settings.Timing.KeysWithoutWord = 600ms;
+      Given.Settings.Timing.UnconfirmedKeysTime = 600ms;
     Given.Store.put("op/config", "3", 0);
     Given.start();
     Given.play(200ms);
--- a/src/cell/intake.cpp
+++ b/src/cell/intake.cpp
@@ -34,7 +34,7 @@
   Mine->Id = Spec.Id;
   Mine->Organisation = Spec.Organisation;
   Mine->Bytes = encodeJob(Spec);
-  Mine->Deadline = Time.Now() + Settings.Timing.SubmitLimit;
+  Mine->Deadline = Time.Now() + Settings.Timing.SubmitTimeout;
   Waiting.push_back(Mine);
   dispatch();
   while (!Mine->Decided)
@@ -125,7 +125,7 @@
 }
 
 Awaitable<Result<Done>> Intake::cancel(JobId Id, std::string Organisation) {
-  const TimePoint Deadline = Time.Now() + Settings.Timing.SubmitLimit;
+  const TimePoint Deadline = Time.Now() + Settings.Timing.SubmitTimeout;
   bool MayBeWritten = false;
   Error Last;
   while (Time.Now() < Deadline) {
--- a/src/cell/scheduler_saves.cpp
+++ b/src/cell/scheduler_saves.cpp
@@ -152,7 +152,7 @@
       Me->SaveWake.expires_at(TimePoint::max());
       co_await Me->SaveWake.async_wait(AsTuple);
       if (!Me->Stopped)
-        co_await sleepFor(Me->Tools.Settings.Timing.Gather);
+        co_await sleepFor(Me->Tools.Settings.Timing.SaveDelay);
       continue;
     }
     ++Me->SavesInFlight;
@@ -163,7 +163,7 @@
 Awaitable<void> SchedulerRunner::flush(Milliseconds Time) {
   const TimePoint Limit = Tools.Time.Now() + Time;
   while (!Stopped && (!Cell.Saves.empty() || SavesInFlight > 0) && Tools.Time.Now() < Limit)
-    co_await sleepFor(Tools.Settings.Timing.Gather / 2);
+    co_await sleepFor(Tools.Settings.Timing.SaveDelay / 2);
 }
 
 // After a write whose conditions do not hold: the leader's key is another's, or gone.
--- a/src/config/cell_settings.cpp
+++ b/src/config/cell_settings.cpp
@@ -42,8 +42,8 @@
   Read.HoldWait = Table.duration("hold_wait", Read.HoldWait, 50ms, 2s);
   Read.HoldTimeout = Table.duration("hold_timeout", Read.HoldTimeout, 50ms, 10s);
   Read.WorkerLease = Table.duration("worker_lease", Read.WorkerLease, 1s, 1min);
-  Read.Gather = Table.duration("gather", Read.Gather, 0ms, 1s);
-  Read.SubmitLimit = Table.duration("submit_limit", Read.SubmitLimit, 100ms, 1min);
+  Read.SaveDelay = Table.duration("gather", Read.SaveDelay, 0ms, 1s);
+  Read.SubmitTimeout = Table.duration("submit_limit", Read.SubmitTimeout, 100ms, 1min);
 }
 
 // What the platform promises about its parts.
@@ -59,7 +59,7 @@
   const bool Strict = Table.boolean("refuse_unconfirmed_keys", false);
   const Milliseconds Time = Table.duration("unconfirmed_keys_time", 5s, 100ms, 10min);
   if (Strict)
-    Read.Timing.KeysWithoutWord = Time;
+    Read.Timing.UnconfirmedKeysTime = Time;
   Read.Timing.StopGrace = fromSeconds(Table.number("stop_grace_seconds", 6, 0.1, 3600));
 }
 
@@ -76,8 +76,8 @@
   });
   Root.table("process", false, [&](TomlReader &T) {
     Read.Threads = static_cast<unsigned>(T.integer("threads", Read.Threads, 1, 64));
-    Read.Descriptors = static_cast<size_t>(
-        T.integer("descriptors", static_cast<int64_t>(Read.Descriptors), 64, 1 << 20));
+    Read.MaxDescriptors = static_cast<size_t>(
+        T.integer("descriptors", static_cast<int64_t>(Read.MaxDescriptors), 64, 1 << 20));
     Read.Power = T.number("power", Read.Power, 0.001, 1024);
   });
   Root.finish();
--- a/src/include/valveshelf/cell_settings.h
+++ b/src/include/valveshelf/cell_settings.h
@@ -19,12 +19,12 @@
   Milliseconds HoldTimeout{400};   ///< Beyond that wait; a replaced scheduler goes on for at most
                                    ///< LeaderLease / 4 without knowing, and this is longer.
   Milliseconds WorkerLease{5000};  ///< A worker runs on so long without word of us.
-  Milliseconds Gather{20};         ///< Ends are gathered so long before they are saved.
-  Milliseconds SubmitLimit{800};   ///< A submission is decided by then.
+  Milliseconds SaveDelay{20};      ///< Ends are gathered so long before they are saved.
+  Milliseconds SubmitTimeout{800}; ///< A submission is decided by then.
   Milliseconds StopGrace{6000};    ///< From SIGTERM to SIGKILL.
   /// Callers' keys are refused when the configuration was not confirmed for so long; empty: a
   /// process that hears neither the store nor its peers goes on with the keys that it knows.
-  std::optional<Milliseconds> KeysWithoutWord;
+  std::optional<Milliseconds> UnconfirmedKeysTime;
 };
 
 /// Everything in the file.
@@ -37,8 +37,8 @@
   std::string LogLevel;
   int LogLinesPerSecond = 40; ///< Of one kind of event; 0: no limit.
   unsigned Threads = 1;
-  double Power = 1;          ///< Cores that the process may use.
-  size_t Descriptors = 4096; ///< That the process may have open.
+  double Power = 1;             ///< Cores that the process may use.
+  size_t MaxDescriptors = 4096; ///< That the process may have open.
   CellTiming Timing;
   IntakeLimits Limits;
   sched::SchedulerLimits Scheduler;
--- a/src/valveshelf/serve_command.cpp
+++ b/src/valveshelf/serve_command.cpp
@@ -77,7 +77,7 @@
   // With one thread the context itself is a strand, and a cheaper one.
   const bool OneThread = Threads == 1;
   TrafficMeter Meter{Clock{}};
-  HttpClient Client(Io.get_executor(), {OneThread, Settings.Descriptors / IdleShare}, &Meter);
+  HttpClient Client(Io.get_executor(), {OneThread, Settings.MaxDescriptors / IdleShare}, &Meter);
   const Executor Where = OneThread ? Executor(Io.get_executor()) : Executor(asio::make_strand(Io));
   const std::string Addresses = "callers=" + toString(Settings.Callers) +
                                 " peers=" + toString(Settings.Peers) +
