--- a/src/config/cell_config.cpp
+++ b/src/config/cell_config.cpp
@@ -74,9 +74,9 @@
   Root.tables("objective", [&](TomlReader &T) { Read.Objectives.push_back(readObjective(T)); });
   Root.tables("steer", [&](TomlReader &T) { Read.Steering.push_back(readSteer(T)); });
   Root.named("team", [&](const std::string &Name, TomlReader &T) {
-    Read.Teams[Name].Most = T.resources("quota", Read.Teams[Name].Most);
+    Read.TeamQuotas[Name].Limit = T.resources("quota", Read.TeamQuotas[Name].Limit);
   });
-  Read.Whole.Most = Root.resources("quota", Read.Whole.Most);
+  Read.Total.Limit = Root.resources("quota", Read.Total.Limit);
   Root.table("placement", false, [&](TomlReader &T) {
     Read.Placement.Spread = T.number("spread", 0.5, 0, 1);
     Read.Placement.Pack = T.number("pack", 0.5, 0, 1);
@@ -118,7 +118,7 @@
   boost::json::object Parts;
   for (const auto &[Partner, Part] : Config.Parts)
     Parts[Partner] = boost::json::object{
-        {"text", Part.Text}, {"version", Part.Version}, {"change", Part.Change}};
+        {"text", Part.Text}, {"version", Part.Version}, {"change", Part.ChangeId}};
   return boost::json::serialize(
       boost::json::object{{"version", Config.Version}, {"parts", std::move(Parts)}});
 }
@@ -155,11 +155,11 @@
   const auto Found = Config.Partners.find(Partner);
   if (Found == Config.Partners.end())
     return {};
-  const auto Quota = Found->second.Teams.find(Team);
-  return Quota == Found->second.Teams.end() ? QuotaConfig{} : Quota->second;
+  const auto Quota = Found->second.TeamQuotas.find(Team);
+  return Quota == Found->second.TeamQuotas.end() ? QuotaConfig{} : Quota->second;
 }
 
-PlacementConfig placementOf(const CellConfig &Config, const std::string &Partner) {
+PlacementConfig placementWeights(const CellConfig &Config, const std::string &Partner) {
   const auto Found = Config.Partners.find(Partner);
   return Found == Config.Partners.end() ? PlacementConfig{} : Found->second.Placement;
 }
--- a/src/config/config_keeper.cpp
+++ b/src/config/config_keeper.cpp
@@ -15,12 +15,12 @@
     : Store(std::move(Store)), Time(std::move(Time)), Peers(std::move(Peers)), Watch(Watch),
       Current(std::make_shared<CellConfig>()) {}
 
-std::shared_ptr<const CellConfig> ConfigKeeper::inForce() const {
+std::shared_ptr<const CellConfig> ConfigKeeper::current() const {
   std::lock_guard Lock(Mutex);
   return Current;
 }
 
-void ConfigKeeper::take(const std::string &Text, const std::string &Peer) {
+void ConfigKeeper::applyIfNewer(const std::string &Text, const std::string &Peer) {
   if (Text.empty())
     return;
   Result<CellConfig> Read = decodeCellConfig(Text);
@@ -42,10 +42,10 @@
 
 Awaitable<void> ConfigKeeper::fetchFrom(Endpoint Peer) {
   wire::ConfigRequest Request;
-  Request.set_have(inForce()->Version);
+  Request.set_have(current()->Version);
   Result<wire::ConfigReply> Reply = co_await Peers.Config(Peer, Request);
-  if (ok(Reply) && value(Reply).version() > inForce()->Version)
-    take(value(Reply).text(), toString(Peer));
+  if (ok(Reply) && value(Reply).version() > current()->Version)
+    applyIfNewer(value(Reply).text(), toString(Peer));
 }
 
 Awaitable<Result<uint64_t>> ConfigKeeper::applyOnce(const ConfigChange &Change,
@@ -61,13 +61,14 @@
     Next = std::move(value(Old));
   }
   ConfigPart &Part = Next.Parts[Change.Partner];
-  if (Part.Change == Change.Id && Part.Version != 0)
+  if (Part.ChangeId == Change.Id && Part.Version != 0)
     co_return Part.Version;
-  if (Part.Version != Change.Base)
+  if (Part.Version != Change.BaseVersion)
     co_return Error{ErrorKind::Conflict, "version " + std::to_string(Part.Version) + " of " +
-                                             Change.Partner + "'s part won (change " + Part.Change +
+                                             Change.Partner + "'s part won (change " +
+                                             Part.ChangeId +
                                              "); this change started from version " +
-                                             std::to_string(Change.Base)};
+                                             std::to_string(Change.BaseVersion)};
   ++Next.Version;
   Part = {Change.Text, Next.Version, Change.Id};
   Next.Partners[Change.Partner] = Parsed;
@@ -76,7 +77,7 @@
   if (!ok(Put))
     co_return error(Put);
   Watch.note({std::string(ConfigKey), Text, value(Put)});
-  take(Text, "");
+  applyIfNewer(Text, "");
   co_return Next.Version;
 }
 
@@ -121,7 +122,7 @@
   Result<CellConfig> Config = decodeCellConfig(value(Stored).Value);
   if (ok(Config)) {
     const auto Part = value(Config).Parts.find(Partner);
-    if (Part != value(Config).Parts.end() && Part->second.Change == Id)
+    if (Part != value(Config).Parts.end() && Part->second.ChangeId == Id)
       co_return Part->second.Version;
   }
   co_return Error{ErrorKind::NotFound,
--- a/src/config/settings_test.cpp
+++ b/src/config/settings_test.cpp
@@ -83,7 +83,7 @@
   Result<CellConfig> Read = decodeCellConfig(encodeCellConfig(Config));
   ASSERT_TRUE(ok(Read));
   EXPECT_EQ(value(Read).Version, 7u);
-  EXPECT_EQ(value(Read).Parts["olano"].Change, "c-1");
+  EXPECT_EQ(value(Read).Parts["olano"].ChangeId, "c-1");
   EXPECT_EQ(value(Read).Partners["olano"].Routes.size(), 2u);
 }
 
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -40,7 +40,7 @@
       Client(Client), Peers(makeGrpcPeerOps(Where, PeerTimeout)),
       Watch(this->From.Store, this->Time), Directory(this->Settings.Shards),
       Config(this->From.Store, this->Time, Peers, Watch),
-      Requests({Where, this->Time, Client, Directory, [this] { return Config.inForce(); },
+      Requests({Where, this->Time, Client, Directory, [this] { return Config.current(); },
                 [this] { return Watch.view(); },
                 [this] {
                   const auto Current = session();
@@ -61,7 +61,7 @@
   if (Result<Done> Bound = Operators.start(); !ok(Bound))
     return Bound;
   Watch.onChange([this] {
-    Config.take(Watch.view()->ConfigText, "");
+    Config.applyIfNewer(Watch.view()->ConfigText, "");
     if (const auto Current = session())
       Current->ownership().wake();
   });
@@ -109,7 +109,7 @@
   spawnLater(Where, Watch.run());
   SessionTools Tools{Where,      Time,         Settings,
                      From.Store, From.Workers, Peers,
-                     Watch,      Directory,    [this] { return Config.inForce(); }};
+                     Watch,      Directory,    [this] { return Config.current(); }};
   while (!Stopping) {
     auto Next = std::make_shared<Session>(Tools, newLogId(Settings.Member, Time.Wall()));
     {
@@ -152,7 +152,7 @@
   wire::ExchangeRequest News;
   News.set_member(Settings.Member);
   News.set_address(toString(Settings.Peers));
-  News.set_config_version(Config.inForce()->Version);
+  News.set_config_version(Config.current()->Version);
   News.set_leaving(Stopping);
   const auto Current = session();
   if (!Current)
@@ -172,7 +172,7 @@
     ConfigVersions[News.member()] = News.config_version();
   }
   const Result<Endpoint> From = parseEndpoint(News.address());
-  if (News.config_version() > Config.inForce()->Version && ok(From))
+  if (News.config_version() > Config.current()->Version && ok(From))
     spawnLater(Where, Config.fetchFrom(value(From)));
 }
 
@@ -312,7 +312,7 @@
     co_return Runner ? Runner->onHold(Request) : wire::HoldReply();
   };
   Handlers.Config = [this](wire::ConfigRequest) -> Awaitable<wire::ConfigReply> {
-    const auto Current = Config.inForce();
+    const auto Current = Config.current();
     wire::ConfigReply Reply;
     Reply.set_version(Current->Version);
     Reply.set_text(encodeCellConfig(*Current));
--- a/src/entry/interfaces.cpp
+++ b/src/entry/interfaces.cpp
@@ -245,10 +245,10 @@
 Awaitable<HttpResponse> EntryProcess::answerConfig(std::string Method, std::string Target,
                                                    HeaderList Headers, std::string Body) {
   const std::string_view Path = pathOf(Target);
-  if (Path == "/v1/config" && Method == "GET" && Config.inForce()->Version == 0 && !Joined)
+  if (Path == "/v1/config" && Method == "GET" && Config.current()->Version == 0 && !Joined)
     co_return errorResponse(notReady());
   if (Path == "/v1/config" && Method == "GET")
-    co_return jsonResponse(200, encodeCellConfig(*Config.inForce()) + "\n");
+    co_return jsonResponse(200, encodeCellConfig(*Config.current()) + "\n");
   if (Method != "PUT" || Path.size() <= std::string_view("/v1/config/").size())
     co_return errorResponse(notFound(Target));
   ConfigChange Change;
@@ -257,7 +257,8 @@
     co_return errorResponse(
         {ErrorKind::Forbidden, "the operator's token is not one of partner " + Change.Partner});
   Change.Text = std::move(Body);
-  Change.Base = std::strtoull(queryParameter(Target, "base").value_or("0").c_str(), nullptr, 10);
+  Change.BaseVersion =
+      std::strtoull(queryParameter(Target, "base").value_or("0").c_str(), nullptr, 10);
   Change.Id = queryParameter(Target, "id").value_or(newJobId());
   const std::string Id = Change.Id;
   Result<uint64_t> Version = co_await Config.apply(std::move(Change));
@@ -275,7 +276,7 @@
     for (const auto &[Shard, Owner] : View->Owners)
       if (Owner.Log == Log && !Owner.Released)
         Shards.emplace_back(Shard);
-    uint64_t Version = Config.inForce()->Version;
+    uint64_t Version = Config.current()->Version;
     if (Member.Name != Settings.Member) {
       std::lock_guard Lock(Mutex);
       Version = ConfigVersions[Member.Name];
@@ -348,7 +349,7 @@
   Set("valveshelf_workers_ready", "Workers that take tasks.",
       static_cast<double>(Sum.WorkersReady));
   Set("valveshelf_config_version", "Configuration in force.",
-      static_cast<double>(Config.inForce()->Version));
+      static_cast<double>(Config.current()->Version));
   const RouterFigures &Routed = Requests.figures();
   Set("valveshelf_requests_served", "Requests with an answer.", static_cast<double>(Routed.Served));
   Set("valveshelf_requests_refused", "Requests refused or failed.",
--- a/src/entry/shard_runner.cpp
+++ b/src/entry/shard_runner.cpp
@@ -307,7 +307,7 @@
         spawnLater(Tools.Where, tryGang(shared_from_this(), Spec.Id));
       return std::vector<std::pair<uint32_t, uint32_t>>{};
     }
-    const PlacementConfig Weights = placementOf(*Config, Spec.Partner);
+    const PlacementConfig Weights = placementWeights(*Config, Spec.Partner);
     return Tools.Directory.choose(Spec, Count, Weights.Pack > Weights.Spread, Now);
   };
   carryOut(lendWaiting(State, Choose, Slow, Tools.Limits, Now));
--- a/src/include/valveshelf/cell_config.h
+++ b/src/include/valveshelf/cell_config.h
@@ -37,7 +37,7 @@
 
 /// What a team may hold at once.
 struct QuotaConfig {
-  Resources Most{INT64_MAX, INT64_MAX, INT64_MAX};
+  Resources Limit{INT64_MAX, INT64_MAX, INT64_MAX};
 };
 
 /// How a partner weighs waiting against packing, each from 0 to 1.
@@ -65,8 +65,8 @@
 struct PartnerConfig {
   std::vector<ServiceConfig> Services;
   std::vector<RouteConfig> Routes;
-  std::map<std::string, QuotaConfig> Teams;
-  QuotaConfig Whole; ///< For the partner as a whole.
+  std::map<std::string, QuotaConfig> TeamQuotas;
+  QuotaConfig Total; ///< For the partner as a whole.
   PlacementConfig Placement;
   std::vector<ObjectiveConfig> Objectives;
   std::vector<SteerConfig> Steering;
@@ -76,7 +76,7 @@
 struct ConfigPart {
   std::string Text;     ///< The TOML as written.
   uint64_t Version = 0; ///< Version of the whole that brought this text.
-  std::string Change;   ///< Id of the change, by which a lost answer is resolved.
+  std::string ChangeId; ///< Id of the change, by which a lost answer is resolved.
 };
 
 /// The whole configuration. The version only ever grows.
@@ -102,6 +102,6 @@
 QuotaConfig teamQuota(const CellConfig &Config, const std::string &Partner,
                       const std::string &Team);
 /// The placement weights of \p Partner.
-PlacementConfig placementOf(const CellConfig &Config, const std::string &Partner);
+PlacementConfig placementWeights(const CellConfig &Config, const std::string &Partner);
 
 } // namespace valveshelf
--- a/src/include/valveshelf/config_keeper.h
+++ b/src/include/valveshelf/config_keeper.h
@@ -15,9 +15,9 @@
 /// A change that an operator asks for.
 struct ConfigChange {
   std::string Partner;
-  std::string Text;  ///< TOML of the partner's part.
-  uint64_t Base = 0; ///< Version of the part that the operator started from.
-  std::string Id;    ///< Names the change, so that a lost answer can be resolved.
+  std::string Text;         ///< TOML of the partner's part.
+  uint64_t BaseVersion = 0; ///< Version of the part that the operator started from.
+  std::string Id;           ///< Names the change, so that a lost answer can be resolved.
 };
 
 /// Safe from any thread.
@@ -25,10 +25,10 @@
 public:
   ConfigKeeper(StoreOps Store, Clock Time, PeerOps Peers, CellWatch &Watch);
 
-  std::shared_ptr<const CellConfig> inForce() const;
+  std::shared_ptr<const CellConfig> current() const;
   /// Takes in the stored form if it is newer. \p Peer names where it came from, empty for the
   /// store.
-  void take(const std::string &Text, const std::string &Peer);
+  void applyIfNewer(const std::string &Text, const std::string &Peer);
   /// Asks a peer that has a newer version for it.
   Awaitable<void> fetchFrom(Endpoint Peer);
   /// Makes the change durable. BadSettings lists every error; Conflict names what won;
--- a/src/jobs/running_shard.cpp
+++ b/src/jobs/running_shard.cpp
@@ -293,11 +293,11 @@
     const Resources Used = Here == State.TeamUse.end() ? Resources{} : Here->second;
     return fits(Used + Elsewhere(Key) + Spec.Size, Most);
   };
-  const auto Team = Partner->second.Teams.find(Spec.Team);
-  if (Team != Partner->second.Teams.end() && !Fits(teamKey(Spec), Team->second.Most))
+  const auto Team = Partner->second.TeamQuotas.find(Spec.Team);
+  if (Team != Partner->second.TeamQuotas.end() && !Fits(teamKey(Spec), Team->second.Limit))
     return false;
-  return Partner->second.Whole.Most == QuotaConfig{}.Most ||
-         Fits(Spec.Partner, Partner->second.Whole.Most);
+  return Partner->second.Total.Limit == QuotaConfig{}.Limit ||
+         Fits(Spec.Partner, Partner->second.Total.Limit);
 }
 
 Decision placeQueued(ShardState &State, const CellConfig &Config, bool StoreUp,
--- a/src/placement/fit.cpp
+++ b/src/placement/fit.cpp
@@ -86,7 +86,7 @@
 WorkerBook *bestRoom(ShardState &State, const JobSpec &Spec, const CellConfig &Config,
                      const std::string &Avoid) {
   const std::vector<char> &Allowed = selectedRooms(State, Spec, Config);
-  const PlacementConfig Weights = placementOf(Config, Spec.Partner);
+  const PlacementConfig Weights = placementWeights(Config, Spec.Partner);
   WorkerBook *Best = nullptr;
   WorkerBook *Avoided = nullptr;
   double BestScore = 0;
--- a/testsuite/session/player.cpp
+++ b/testsuite/session/player.cpp
@@ -75,7 +75,7 @@
     for (const std::string &Word : Args) {
       StoreUp = StoreUp && Word != "store-down";
       if (Word.starts_with("quota="))
-        Config.Partners["olano"].Teams["build"].Most.MilliCores = std::stoll(Word.substr(6));
+        Config.Partners["olano"].TeamQuotas["build"].Limit.MilliCores = std::stoll(Word.substr(6));
       if (Word.starts_with("elsewhere="))
         Elsewhere.MilliCores = std::stoll(Word.substr(10));
     }
