--- a/src/cell/cell_metrics_test.cpp
+++ b/src/cell/cell_metrics_test.cpp
@@ -15,9 +15,9 @@
   std::string Text = "# Metrics\n\nEach process serves these at its metrics address, in the text "
                      "form of Prometheus. This page is checked\nagainst the code by a test.\n\n"
                      "| name | type | meaning |\n| --- | --- | --- |\n";
-  for (const MetricKind *Kind : metricTable())
-    Text += "| valveshelf_" + std::string(Kind->Name) + " | " + std::string(Kind->Type) + " | " +
-            std::string(Kind->Meaning) + " |\n";
+  for (const MetricDescriptor *Metric : allMetrics())
+    Text += "| valveshelf_" + std::string(Metric->Name) + " | " + std::string(Metric->Type) +
+            " | " + std::string(Metric->Help) + " |\n";
   return Text;
 }
 
@@ -30,13 +30,13 @@
   EXPECT_EQ(Written, catalogue());
 }
 
-TEST(CellMetrics, EachIsServed) {
-  CellMetrics Figures;
-  Figures.count(metrics::Calls, "GET 200");
-  Figures.count(metrics::Calls, "GET 200");
-  Figures.observe(metrics::CallSeconds, Milliseconds(30));
-  Figures.set(metrics::Jobs, 7);
-  const std::string Text = Figures.text();
+TEST(CellMetrics, ServesMetricsAsText) {
+  CellMetrics Metrics;
+  Metrics.count(metrics::Calls, "GET 200");
+  Metrics.count(metrics::Calls, "GET 200");
+  Metrics.observe(metrics::CallSeconds, Milliseconds(30));
+  Metrics.set(metrics::Jobs, 7);
+  const std::string Text = Metrics.text();
   EXPECT_NE(Text.find("valveshelf_calls_total{case=\"GET 200\"} 2"), std::string::npos) << Text;
   EXPECT_NE(Text.find("valveshelf_call_seconds_bucket{le=\"0.05\"} 1"), std::string::npos) << Text;
   EXPECT_NE(Text.find("valveshelf_jobs 7"), std::string::npos) << Text;
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -65,8 +65,8 @@
 
 void SchedulerRunner::stop() {
   Stopped = true;
-  for (const MetricKind *Kind : {&metrics::Jobs, &metrics::Waiting, &metrics::Workers,
-                                 &metrics::ZonesEvacuated, &metrics::WorkerListAge})
+  for (const MetricDescriptor *Kind : {&metrics::Jobs, &metrics::Waiting, &metrics::Workers,
+                                       &metrics::ZonesEvacuated, &metrics::WorkerListAge})
     Tools.Metrics.set(*Kind, 0);
   Lanes.stop();
   SaveWake.cancel();
--- a/src/include/valveshelf/cell_metrics.h
+++ b/src/include/valveshelf/cell_metrics.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // Counters and latency histograms of an entry process of a cell. docs/METRICS.md lists them and is
-// checked against `metricTable` by a test.
+// checked against `allMetrics` by a test.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -14,21 +14,21 @@
 namespace valveshelf {
 
 /// A metric's name without the common prefix, its type and its meaning.
-struct MetricKind {
+struct MetricDescriptor {
   std::string_view Name;
   std::string_view Type; ///< "counter", "gauge" or "histogram".
-  std::string_view Meaning;
+  std::string_view Help;
 };
 
 namespace metrics {
-extern const MetricKind Calls, CallSeconds, StoreSeconds, Terms, Jobs, Waiting, Starts,
+extern const MetricDescriptor Calls, CallSeconds, StoreSeconds, Terms, Jobs, Waiting, Starts,
     StartSeconds, Ends, RunsLost, TasksGivenUp, FirstStartSeconds, AdviceSeconds, PlaceSeconds,
     Workers, WorkerListAge, ZonesEvacuated, Messages, MessageBytes, ConnectionsOpened,
     LogLinesLeftOut, Ready;
 } // namespace metrics
 
 /// All metrics, for the catalogue.
-std::span<const MetricKind *const> metricTable();
+std::span<const MetricDescriptor *const> allMetrics();
 
 /// Holds the figures. Safe from any thread.
 class CellMetrics {
@@ -39,11 +39,11 @@
   CellMetrics &operator=(const CellMetrics &) = delete;
 
   /// Adds one to a counter. \p Label tells cases apart; empty: none.
-  void count(const MetricKind &Kind, const std::string &Label = "");
-  void observe(const MetricKind &Kind, Steady::duration Time);
-  void set(const MetricKind &Kind, double Value);
+  void count(const MetricDescriptor &Metric, const std::string &Label = "");
+  void observe(const MetricDescriptor &Metric, Steady::duration Time);
+  void set(const MetricDescriptor &Metric, double Value);
   /// Brings the counters of messages up to the book.
-  void setTraffic(const TrafficBook &Book);
+  void setTraffic(const TrafficBook &Traffic);
   /// The text that is served.
   std::string text() const;
 
