--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -60,11 +60,11 @@
             this->From.OpenStore([this](StoreCall Call) { return Router.call(std::move(Call)); })),
         View(Where, Store, Settings, [this] { Lead.viewChanged(); }),
         Config(Where, Time, Store, Settings, this->From.Operators, this->From.DecodeConfiguration,
-               configLinks()),
+               configWatchCallbacks()),
         In(
             Where, Store, Time, Settings, [this] { return Router.isUnresponsive(); },
             [this](IntakeNews News) { announce(std::move(News)); }),
-        Lead(schedulerTools(), View, leadershipLinks()),
+        Lead(schedulerTools(), View, leadershipCallbacks()),
         Door(Settings, Time, callerCodec(), Store, Config, View, Lead, In, Peers,
              [this] { return Router.retryAfter(); }),
         Callers(Where, Settings.Callers, serverLimits(),
@@ -129,34 +129,34 @@
             [this] { return Time.Now() - Router.lastAnswer() < AnswersNow; }};
   }
 
-  LeadershipLinks leadershipLinks() {
-    LeadershipLinks Links;
-    Links.Probe = Peers.Probe;
-    Links.CouldSchedule = [this](Endpoint To, uint64_t GoneTerm) -> Awaitable<bool> {
+  LeadershipCallbacks leadershipCallbacks() {
+    LeadershipCallbacks Callbacks;
+    Callbacks.Probe = Peers.Probe;
+    Callbacks.CouldSchedule = [this](Endpoint To, uint64_t GoneTerm) -> Awaitable<bool> {
       cell::CandidateRequest Question;
       Question.set_gone_term(GoneTerm);
       Result<cell::CandidateReply> Reply =
           co_await Peers.Candidate(std::move(To), Question, CandidateTimeout);
       co_return ok(Reply) && value(Reply).could_schedule();
     };
-    Links.StoreIsStraight = [this] { return Router.isDirectlyReachable(); };
-    return Links;
+    Callbacks.StoreIsStraight = [this] { return Router.isDirectlyReachable(); };
+    return Callbacks;
   }
 
-  ConfigLinks configLinks() {
-    ConfigLinks Links;
-    Links.AskPeer = [this](Endpoint Peer, uint64_t Have, Milliseconds Wait) {
+  ConfigWatchCallbacks configWatchCallbacks() {
+    ConfigWatchCallbacks Callbacks;
+    Callbacks.FetchFromPeer = [this](Endpoint Peer, uint64_t Have, Milliseconds Wait) {
       return askConfiguration(std::move(Peer), Have, Wait);
     };
-    Links.Peers = [this] { return schedulerFirst(); };
-    Links.Schedules = [this] { return Lead.scheduler() != nullptr; };
-    Links.HearsStore = [this] {
-      return Lead.scheduler() != nullptr || hearsStore(View.picture().Roster, Settings.Member);
+    Callbacks.Peers = [this] { return schedulerFirst(); };
+    Callbacks.IsScheduler = [this] { return Lead.scheduler() != nullptr; };
+    Callbacks.WatchesStore = [this] {
+      return Lead.scheduler() != nullptr || watchesStore(View.picture().Roster, Settings.Member);
     };
-    Links.Hearers = [this] { return hearersFor(View.picture().Roster, Settings.Member); };
-    Links.Changed = [this] { Lead.configurationChanged(Config.current()); };
-    Links.ZonesChanged = [this] { Lead.zonesChanged(Config.evacuated()); };
-    return Links;
+    Callbacks.Watchers = [this] { return watchersFor(View.picture().Roster, Settings.Member); };
+    Callbacks.Changed = [this] { Lead.configurationChanged(Config.current()); };
+    Callbacks.ZonesChanged = [this] { Lead.zonesChanged(Config.evacuated()); };
+    return Callbacks;
   }
 
   Awaitable<Result<PeerConfiguration>> askConfiguration(Endpoint Peer, uint64_t Have,
@@ -169,22 +169,22 @@
     if (!ok(Reply))
       co_return error(Reply);
     const cell::ConfigurationReply &Got = value(Reply);
-    Result<std::string> Newer = Got.configuration();
+    Result<std::string> NewerBytes = Got.configuration();
     if (Got.packed())
-      Newer = unpack(Got.configuration(), MostConfigurationBytes);
-    if (!ok(Newer))
-      co_return error(Newer);
-    co_return PeerConfiguration{std::move(value(Newer)), Got.version(),
+      NewerBytes = unpack(Got.configuration(), MostConfigurationBytes);
+    if (!ok(NewerBytes))
+      co_return error(NewerBytes);
+    co_return PeerConfiguration{std::move(value(NewerBytes)), Got.version(),
                                 Milliseconds(Got.confirmed_ms_ago())};
   }
 
   Awaitable<cell::ConfigurationReply> configuration(cell::ConfigurationRequest Asked) {
     const PeerConfiguration Known =
-        co_await Config.tell(Asked.have_version(), Milliseconds(Asked.wait_ms()));
+        co_await Config.answerPeer(Asked.have_version(), Milliseconds(Asked.wait_ms()));
     cell::ConfigurationReply Reply;
-    if (!Known.Newer.empty()) {
+    if (!Known.NewerBytes.empty()) {
       if (PackedVersion != Known.Version)
-        Packed = pack(Known.Newer);
+        Packed = pack(Known.NewerBytes);
       PackedVersion = Known.Version;
       Reply.set_configuration(Packed);
       Reply.set_packed(true);
@@ -251,7 +251,7 @@
 
   Awaitable<cell::AdviseReply> advise(cell::AdviseRequest Asked) {
     if (const auto &Leader = View.picture().Leader; Leader && Leader->Name != Settings.Member)
-      Config.peerHas(Leader->Peers, Asked.config_version());
+      Config.notePeerVersion(Leader->Peers, Asked.config_version());
     const StepKey Step{Asked.job(), Asked.round(), Asked.step()};
     std::vector<std::string> Workers(Asked.worker().begin(), Asked.worker().end());
     Result<Advice> Answer =
@@ -331,7 +331,7 @@
       View.doubt();
     if (!ok(Told))
       co_return co_await Lead.suspect();
-    Config.peerHas(To, value(Told).config_version());
+    Config.notePeerVersion(To, value(Told).config_version());
   }
 
   cell::AnnounceReply announced(const cell::AnnounceRequest &News) {
--- a/src/cell/cell_view.cpp
+++ b/src/cell/cell_view.cpp
@@ -68,11 +68,11 @@
 }
 
 Milliseconds CellView::watchTime() const {
-  return sharedPace(Picture.Roster.Processes, Settings.Timing.WatchTime);
+  return sharedInterval(Picture.Roster.Processes, Settings.Timing.WatchTime);
 }
 
 Milliseconds CellView::memberLease() const {
-  return sharedPace(Picture.Roster.Processes, Settings.Timing.MemberLease);
+  return sharedInterval(Picture.Roster.Processes, Settings.Timing.MemberLease);
 }
 
 void CellView::doubt() {
--- a/src/cell/config_watch.cpp
+++ b/src/cell/config_watch.cpp
@@ -36,9 +36,9 @@
 
 ConfigWatch::ConfigWatch(Executor Where, Clock Time, KeyValueStore Store,
                          const CellSettings &Settings, OperatorKeys Keys, Decoder Decode,
-                         ConfigLinks Links)
+                         ConfigWatchCallbacks Callbacks)
     : Where(Where), Time(std::move(Time)), Store(std::move(Store)), Settings(Settings),
-      Keys(std::move(Keys)), Decode(std::move(Decode)), Links(std::move(Links)) {
+      Keys(std::move(Keys)), Decode(std::move(Decode)), Callbacks(std::move(Callbacks)) {
   CallersKeys.Seed = (uint64_t{std::random_device()()} << 32) | std::random_device()();
 }
 
@@ -77,7 +77,7 @@
     if (!Evacuated.Names.count(Zone))
       logEvent(events::EvacuationOver, {{"zone", Zone}, {"revision", Revision}});
   if (Evacuated.Names != Before.Names)
-    Links.ZonesChanged();
+    Callbacks.ZonesChanged();
 }
 
 void ConfigWatch::takeBytes(const std::string &Read, const std::string &From) {
@@ -95,25 +95,25 @@
     Held->cancel();
   logEvent(From == "store" ? events::ConfigInForce : events::ConfigFromPeer,
            {{"version", std::to_string(version())}, {"from", From}});
-  Links.Changed();
+  Callbacks.Changed();
 }
 
 bool ConfigWatch::isDoubtful() const {
   return WatchFails || Time.Now() - Confirmed > Settings.Timing.WatchTime + WatchSlack;
 }
 
-void ConfigWatch::peerHas(const Endpoint &Peer, uint64_t Version) {
+void ConfigWatch::notePeerVersion(const Endpoint &Peer, uint64_t Version) {
   HeardPeer = Time.Now();
   if (Version > version() && !Asking)
     spawnLater(Where, askOnce(this, Peer));
 }
 
-bool ConfigWatch::isTooOld() const {
+bool ConfigWatch::hasStaleKeys() const {
   const std::optional<Milliseconds> Most = Settings.Timing.UnconfirmedKeysTime;
   return Most && Time.Now() - Confirmed > *Most;
 }
 
-Awaitable<PeerConfiguration> ConfigWatch::tell(uint64_t Have, Milliseconds Wait) {
+Awaitable<PeerConfiguration> ConfigWatch::answerPeer(uint64_t Have, Milliseconds Wait) {
   if (version() <= Have && Wait.count() > 0) {
     SteadyTimer Held(Where, std::min(Wait, HeldByPeer));
     Waiting.insert(&Held);
@@ -123,7 +123,7 @@
   PeerConfiguration Known;
   Known.Version = version();
   if (version() > Have)
-    Known.Newer = Bytes;
+    Known.NewerBytes = Bytes;
   Known.ConfirmedAge = std::chrono::duration_cast<Milliseconds>(Time.Now() - Confirmed);
   co_return Known;
 }
@@ -132,7 +132,7 @@
 Awaitable<bool> ConfigWatch::askPeer(Endpoint Peer, Milliseconds Wait) {
   Asking = true;
   const TimePoint AskedAt = Time.Now();
-  Result<PeerConfiguration> Answer = co_await Links.AskPeer(Peer, version(), Wait);
+  Result<PeerConfiguration> Answer = co_await Callbacks.FetchFromPeer(Peer, version(), Wait);
   Asking = false;
   if (!ok(Answer) || Stopped) {
     ++NextPeer;
@@ -141,9 +141,9 @@
   HeardPeer = Time.Now();
   const PeerConfiguration &Known = value(Answer);
   // An answer without a newer version was held to its end.
-  const TimePoint SaidAfter = Known.Newer.empty() ? AskedAt + Wait : AskedAt;
-  if (!Known.Newer.empty())
-    takeBytes(Known.Newer, toString(Peer));
+  const TimePoint SaidAfter = Known.NewerBytes.empty() ? AskedAt + Wait : AskedAt;
+  if (!Known.NewerBytes.empty())
+    takeBytes(Known.NewerBytes, toString(Peer));
   if (Known.Version == version())
     Confirmed = std::max(Confirmed, SaidAfter - Known.ConfirmedAge);
   else if (isDoubtful())
@@ -160,15 +160,15 @@
   int Silent = 0;        // peers in a row
   bool Answered = false; // the peer that is next has answered just now
   while (!Stopped) {
-    const std::vector<Endpoint> Hearers = Links.Hearers();
-    if (Links.HearsStore() || Hearers.empty() || Asking) {
+    const std::vector<Endpoint> Watchers = Callbacks.Watchers();
+    if (Callbacks.WatchesStore() || Watchers.empty() || Asking) {
       co_await sleepFor(RetryPause);
       continue;
     }
     // A peer that may be gone is not waited for: several in a row would hide a change for too long.
     const bool Holds = Answered && version() != 0;
-    Answered =
-        co_await askPeer(Hearers[NextPeer % Hearers.size()], Holds ? HeldByPeer : Milliseconds(0));
+    Answered = co_await askPeer(Watchers[NextPeer % Watchers.size()],
+                                Holds ? HeldByPeer : Milliseconds(0));
     Silent = Answered ? 0 : Silent + 1;
     if (Silent >= PeersUntilStore) {
       co_await readAll();
@@ -183,12 +183,12 @@
 Awaitable<void> ConfigWatch::doubtLoop() {
   while (!Stopped) {
     co_await sleepFor(DoubtEvery);
-    if (Links.Schedules())
+    if (Callbacks.IsScheduler())
       co_await readAll();
-    if (!Links.HearsStore())
+    if (!Callbacks.WatchesStore())
       continue;
     const Milliseconds Patience = isDoubtful() ? PeerSilenceInDoubt : PeerSilence;
-    const std::vector<Endpoint> Peers = Links.Peers();
+    const std::vector<Endpoint> Peers = Callbacks.Peers();
     if (!Asking && !Peers.empty() && Time.Now() - HeardPeer > Patience)
       co_await askPeer(Peers[NextPeer % Peers.size()], Milliseconds(0));
   }
@@ -212,7 +212,7 @@
 
 Awaitable<void> ConfigWatch::watchLoop() {
   while (!Stopped) {
-    if (!Links.HearsStore()) {
+    if (!Callbacks.WatchesStore()) {
       Revision = 0; // what changes meanwhile is read when it watches again
       co_await sleepFor(RetryPause);
       continue;
--- a/src/cell/config_watch.h
+++ b/src/cell/config_watch.h
@@ -21,25 +21,25 @@
 
 /// What a peer knows of the configuration.
 struct PeerConfiguration {
-  std::string Newer;            ///< As the store has it; empty: the peer has none newer.
+  std::string NewerBytes;       ///< As the store has it; empty: the peer has none newer.
   uint64_t Version = 0;         ///< That the peer has.
   Milliseconds ConfirmedAge{0}; ///< Since the store last told it that there is none newer.
 };
 
 /// How a process hears of configurations from others, and whom it tells.
-struct ConfigLinks {
+struct ConfigWatchCallbacks {
   /// Asks a peer for what it has beyond \p Have; the peer may hold its answer for \p Wait.
   std::function<Awaitable<Result<PeerConfiguration>>(Endpoint Peer, uint64_t Have,
                                                      Milliseconds Wait)>
-      AskPeer;
+      FetchFromPeer;
   std::function<std::vector<Endpoint>()> Peers; ///< The scheduler's first, if it is another one.
-  std::function<bool()> Schedules;              ///< Whether this process does.
+  std::function<bool()> IsScheduler;            ///< Whether this process does.
   /// Whether this process watches the store itself. In a large cell few do, and the others hear of
   /// a configuration from them: some hundred kilobytes to each of a thousand boxes would fill the
   /// store's link for a second with each change.
-  std::function<bool()> HearsStore;
+  std::function<bool()> WatchesStore;
   std::function<std::vector<Endpoint>()>
-      Hearers;                        ///< Peers that do, this process's first choice first.
+      Watchers;                       ///< Peers that do, this process's first choice first.
   std::function<void()> Changed;      ///< Another version is in force here.
   std::function<void()> ZonesChanged; ///< Other zones are to be left empty, or none.
 };
@@ -50,7 +50,7 @@
   using Decoder = std::function<Result<sched::CellConfiguration>(std::string_view Bytes)>;
   /// \p Decode reads the configuration.
   ConfigWatch(Executor Where, Clock Time, KeyValueStore Store, const CellSettings &Settings,
-              OperatorKeys Keys, Decoder Decode, ConfigLinks Links);
+              OperatorKeys Keys, Decoder Decode, ConfigWatchCallbacks Callbacks);
   void start();
   void stop() { Stopped = true; }
   /// Null until the first version was read.
@@ -63,12 +63,12 @@
   const sched::EvacuatedZones &evacuated() const { return Evacuated; }
   /// What a peer that has version \p Have is told: at once if this process has a newer one,
   /// otherwise when it has or after \p Wait.
-  Awaitable<PeerConfiguration> tell(uint64_t Have, Milliseconds Wait);
+  Awaitable<PeerConfiguration> answerPeer(uint64_t Have, Milliseconds Wait);
   /// True if neither the store nor a peer that hears it has confirmed the version in force for so
   /// long that callers' keys must not be relied on any more, where the settings ask for that.
-  bool isTooOld() const;
+  bool hasStaleKeys() const;
   /// A peer has said which version it has; a newer one is asked for there.
-  void peerHas(const Endpoint &Peer, uint64_t Version);
+  void notePeerVersion(const Endpoint &Peer, uint64_t Version);
 
 private:
   Awaitable<void> watchLoop();
@@ -90,7 +90,7 @@
   const CellSettings &Settings;
   const OperatorKeys Keys;
   const Decoder Decode;
-  const ConfigLinks Links;
+  const ConfigWatchCallbacks Callbacks;
   KeyIndex CallersKeys; ///< Of the version in force; its configuration is null before the first.
   sched::EvacuatedZones Evacuated;
   std::string Bytes;     ///< That version as it was read.
--- a/src/cell/config_watch_test.cpp
+++ b/src/cell/config_watch_test.cpp
@@ -27,9 +27,9 @@
   boost::asio::io_context Io;
   fakes::FakeKeyValueStore Store{Io};
   CellSettings Settings;
-  bool IsBlind = false;   ///< Watches are answered and tell of no change.
-  bool Schedules = false; ///< This process.
-  bool HearsStore = true;
+  bool IsBlind = false;     ///< Watches are answered and tell of no change.
+  bool IsScheduler = false; ///< This process.
+  bool WatchesStore = true;
   PeerConfiguration PeerHas;
   bool PeerAnswers = true;
   int PeersAsked = 0;
@@ -47,9 +47,9 @@
       co_await sleepFor(Wait);
       co_return KeyChanges{{}, After};
     };
-    ConfigLinks Links;
-    Links.AskPeer = [this](Endpoint, uint64_t Have,
-                           Milliseconds Wait) -> Awaitable<Result<PeerConfiguration>> {
+    ConfigWatchCallbacks Callbacks;
+    Callbacks.FetchFromPeer = [this](Endpoint, uint64_t Have,
+                                     Milliseconds Wait) -> Awaitable<Result<PeerConfiguration>> {
       ++PeersAsked;
       const TimePoint Until = Steady::now() + Wait;
       while (PeerAnswers && PeerHas.Version <= Have && Steady::now() < Until)
@@ -58,15 +58,15 @@
         co_return Error{ErrorKind::UpstreamCut, "silent"};
       co_return PeerHas;
     };
-    Links.Peers = [] { return std::vector<Endpoint>{{"127.0.0.1", 7}}; };
-    Links.Schedules = [this] { return Schedules; };
-    Links.HearsStore = [this] { return HearsStore; };
-    Links.Hearers = Links.Peers;
-    Links.Changed = [this] { ++Changes; };
-    Links.ZonesChanged = [this] { ++ZoneChanges; };
+    Callbacks.Peers = [] { return std::vector<Endpoint>{{"127.0.0.1", 7}}; };
+    Callbacks.IsScheduler = [this] { return IsScheduler; };
+    Callbacks.WatchesStore = [this] { return WatchesStore; };
+    Callbacks.Watchers = Callbacks.Peers;
+    Callbacks.Changed = [this] { ++Changes; };
+    Callbacks.ZonesChanged = [this] { ++ZoneChanges; };
     Config = std::make_unique<ConfigWatch>(Io.get_executor(), Clock{}, Ops, Settings,
                                            OperatorKeys{"op/", "op/config", "op/evacuate/"}, decode,
-                                           Links);
+                                           Callbacks);
     Config->start();
   }
   void play(Milliseconds Time) {
@@ -88,7 +88,7 @@
   ASSERT_EQ(Given.Config->version(), 3u);
   Given.Store.Down = true;
   Given.PeerHas = {"5", 5, 0ms};
-  Given.Config->peerHas({"127.0.0.1", 7}, 5);
+  Given.Config->notePeerVersion({"127.0.0.1", 7}, 5);
   Given.play(20ms);
   EXPECT_EQ(Given.Config->version(), 5u);
   EXPECT_EQ(organisationOf(Given.Config->callerKeys(), "k3"), nullptr) << "the key was taken away";
@@ -113,7 +113,7 @@
 TEST(ConfigWatch, TheSchedulerReadsWhereItsWatchIsSilent) {
   Bench Given;
   Given.Store.put("op/config", "3", 0);
-  Given.Schedules = true;
+  Given.IsScheduler = true;
   Given.start();
   Given.play(50ms);
   Given.IsBlind = true;
@@ -141,14 +141,14 @@
     Given.Store.put("op/config", "3", 0);
     Given.start();
     Given.play(200ms);
-    EXPECT_FALSE(Given.Config->isTooOld());
+    EXPECT_FALSE(Given.Config->hasStaleKeys());
     Given.Store.Down = true;
     Given.PeerHas = {"", 3, 0ms}; // a peer that hears the store confirms
     Given.play(1500ms);
-    EXPECT_FALSE(Given.Config->isTooOld());
+    EXPECT_FALSE(Given.Config->hasStaleKeys());
     Given.PeerAnswers = false;
     Given.play(1500ms);
-    EXPECT_EQ(Given.Config->isTooOld(), Strict);
+    EXPECT_EQ(Given.Config->hasStaleKeys(), Strict);
   }
 }
 
@@ -172,7 +172,7 @@
 // A watch may be answered and silent for longer than an evacuation has until it is in force.
 TEST(ConfigWatch, TheSchedulerHearsOfAnEvacuationThoughWatchesAreSilent) {
   Bench Given;
-  Given.Schedules = true;
+  Given.IsScheduler = true;
   Given.start();
   Given.play(20ms);
   Given.IsBlind = true;
@@ -188,7 +188,7 @@
 // In a large fleet a change goes to few processes, and from them to the others.
 TEST(ConfigWatch, AProcessThatDoesNotHearTheStoreHasAVersionAsSoonAsItsPeer) {
   Bench Given;
-  Given.HearsStore = false;
+  Given.WatchesStore = false;
   Given.Store.put("op/config", "9", 0); // nobody tells it that
   Given.PeerHas = {"3", 3, 0ms};
   Given.start();
@@ -204,7 +204,7 @@
 
 TEST(ConfigWatch, AProcessWhosePeersAreSilentReadsTheStoreAfterAll) {
   Bench Given;
-  Given.HearsStore = false;
+  Given.WatchesStore = false;
   Given.PeerAnswers = false;
   Given.Store.put("op/config", "9", 0);
   Given.start();
@@ -218,14 +218,14 @@
   Given.start();
   Given.play(50ms);
   std::optional<PeerConfiguration> Told;
-  boost::asio::co_spawn(Given.Io, Given.Config->tell(3, 2s),
+  boost::asio::co_spawn(Given.Io, Given.Config->answerPeer(3, 2s),
                         [&](std::exception_ptr, PeerConfiguration What) { Told = What; });
   Given.play(100ms);
   EXPECT_FALSE(Told);
   Given.Store.put("op/config", "4", 0);
   Given.play(50ms);
   ASSERT_TRUE(Told);
-  EXPECT_EQ(Told->Newer, "4");
+  EXPECT_EQ(Told->NewerBytes, "4");
 }
 
 } // namespace
--- a/src/cell/front_door.cpp
+++ b/src/cell/front_door.cpp
@@ -70,7 +70,7 @@
 Result<std::string> FrontDoor::identify(const Queue &To, const CallerRequest &Asked) const {
   if (To.Public || !Config.current()->Organisations)
     return std::string();
-  if (Config.isTooOld())
+  if (Config.hasStaleKeys())
     return Error{ErrorKind::StoreUnavailable, "keys can't be confirmed just now"};
   const Organisation *Of = Asked.Key ? organisationOf(Config.callerKeys(), *Asked.Key) : nullptr;
   if (!Of)
--- a/src/cell/histories_test.cpp
+++ b/src/cell/histories_test.cpp
@@ -58,7 +58,7 @@
   Roster Standing;
   auto List = std::make_shared<MemberList>(
       Given.Io.get_executor(), Given.Store.ops(), Given.Settings, 0,
-      MemberList::Links{[] {}, [&]() -> const Roster & { return Standing; }});
+      MemberList::Callbacks{[] {}, [&]() -> const Roster & { return Standing; }});
   List->start();
   Given.play(30ms);
   ASSERT_EQ(List->members().size(), 2u);
@@ -71,19 +71,20 @@
 TEST(Histories, WhatOperatorsAskForIsReadAgain) {
   Watched Given;
   Given.Store.put("op/evacuate/z1", "{}", 0);
-  ConfigLinks Links;
-  Links.AskPeer = [](Endpoint, uint64_t, Milliseconds) -> Awaitable<Result<PeerConfiguration>> {
+  ConfigWatchCallbacks Callbacks;
+  Callbacks.FetchFromPeer = [](Endpoint, uint64_t,
+                               Milliseconds) -> Awaitable<Result<PeerConfiguration>> {
     co_return Error{ErrorKind::UpstreamCut, "silent"};
   };
-  Links.Peers = [] { return std::vector<Endpoint>(); };
-  Links.Schedules = [] { return false; };
-  Links.HearsStore = [] { return true; };
-  Links.Hearers = Links.Peers;
-  Links.Changed = Links.ZonesChanged = [] {};
+  Callbacks.Peers = [] { return std::vector<Endpoint>(); };
+  Callbacks.IsScheduler = [] { return false; };
+  Callbacks.WatchesStore = [] { return true; };
+  Callbacks.Watchers = Callbacks.Peers;
+  Callbacks.Changed = Callbacks.ZonesChanged = [] {};
   ConfigWatch Watch(
       Given.Io.get_executor(), Clock{}, Given.Store.ops(), Given.Settings,
       {"op/", "op/config", "op/evacuate/"},
-      [](std::string_view) -> Result<CellConfiguration> { return CellConfiguration{}; }, Links);
+      [](std::string_view) -> Result<CellConfiguration> { return CellConfiguration{}; }, Callbacks);
   Watch.start();
   Given.play(30ms);
   ASSERT_EQ(Watch.evacuated().Names.size(), 1u);
--- a/src/cell/leadership.cpp
+++ b/src/cell/leadership.cpp
@@ -32,8 +32,8 @@
 constexpr Milliseconds HandOverEvery{10000};
 } // namespace
 
-Leadership::Leadership(const SchedulerTools &Tools, CellView &View, LeadershipLinks Links)
-    : Tools(Tools), View(View), Links(std::move(Links)) {}
+Leadership::Leadership(const SchedulerTools &Tools, CellView &View, LeadershipCallbacks Callbacks)
+    : Tools(Tools), View(View), Callbacks(std::move(Callbacks)) {}
 
 void Leadership::start() { spawnLater(Tools.Where, loop()); }
 
@@ -86,7 +86,7 @@
     co_return;
   Probing = true;
   const Milliseconds Time = probeTime(Terms, Tools.Settings.Timing.LeaderLease, Tools.Time.Now());
-  const ProbeResult Found = co_await Links.Probe(Suspect->Peers, Time);
+  const ProbeResult Found = co_await Callbacks.Probe(Suspect->Peers, Time);
   Probing = false;
   if (Found == ProbeResult::Listening)
     co_return;
@@ -118,9 +118,9 @@
       continue;
     ++Told;
     spawnLater(Tools.Where,
-               [](LeadershipLinks Links, Endpoint To, uint64_t Term) -> Awaitable<void> {
-                 co_await Links.CouldSchedule(To, Term);
-               }(Links, Other.Peers, Gone.Term));
+               [](LeadershipCallbacks Callbacks, Endpoint To, uint64_t Term) -> Awaitable<void> {
+                 co_await Callbacks.CouldSchedule(To, Term);
+               }(Callbacks, Other.Peers, Gone.Term));
   }
 }
 
@@ -128,13 +128,13 @@
   const std::optional<Leader> &Known = View.picture().Leader;
   if (ToldGone != 0 && Known && Known->Term == ToldGone && GoneTerm != ToldGone)
     spawnLater(Tools.Where, suspect());
-  return !Stopped && View.picture().Known && Links.StoreIsStraight();
+  return !Stopped && View.picture().Known && Callbacks.StoreIsStraight();
 }
 
 // True if another process should schedule from now on, and is ready to.
 Awaitable<bool> Leadership::someoneIsBetter(TimePoint Begun) {
   const TimePoint Now = Tools.Time.Now();
-  if (Links.StoreIsStraight())
+  if (Callbacks.StoreIsStraight())
     StraightAt = Now;
   const bool Early = Now - Begun < LeastTerm ||
                      (LastHandOver != TimePoint{} && Now - LastHandOver < HandOverEvery);
@@ -146,7 +146,7 @@
   for (const Member &Other : membersByPower()) {
     if (Other.Power < Least || Asked++ == MostTold)
       break;
-    if (co_await Links.CouldSchedule(Other.Peers, 0))
+    if (co_await Callbacks.CouldSchedule(Other.Peers, 0))
       co_return true;
   }
   co_return false;
@@ -162,8 +162,8 @@
 Milliseconds Leadership::turn() const {
   const Member Self{Tools.Settings.Member, Tools.Settings.Peers, Tools.Settings.Zone,
                     Tools.Settings.Power};
-  return claimTurn(View.picture().Members, Self) +
-         (Links.StoreIsStraight() ? Milliseconds(0) : DetourTurn);
+  return claimDelay(View.picture().Members, Self) +
+         (Callbacks.StoreIsStraight() ? Milliseconds(0) : DetourTurn);
 }
 
 Awaitable<void> Leadership::loop() {
@@ -222,14 +222,14 @@
     Runner->setConfiguration(*Config);
   Runner->setEvacuated(Evacuated);
   Runner->start();
-  MemberList::Links Around;
-  Around.Changed = [this] {
+  MemberList::Callbacks ListCallbacks;
+  ListCallbacks.Changed = [this] {
     if (AllMembers)
       View.setAllMembers(AllMembers->members());
   };
-  Around.Standing = [this]() -> const Roster & { return View.picture().Roster; };
+  ListCallbacks.CurrentRoster = [this]() -> const Roster & { return View.picture().Roster; };
   AllMembers = std::make_shared<MemberList>(Tools.Where, Tools.Store, Tools.Settings,
-                                            Mine.LeaderRevision, std::move(Around));
+                                            Mine.LeaderRevision, std::move(ListCallbacks));
   AllMembers->start();
   const auto Current = Runner;
   const TimePoint Begun = Tools.Time.Now();
--- a/src/cell/leadership.h
+++ b/src/cell/leadership.h
@@ -14,7 +14,7 @@
 namespace valveshelf {
 
 /// What leadership asks of other processes, and of its own way to the store.
-struct LeadershipLinks {
+struct LeadershipCallbacks {
   /// Whether the process at an address listens.
   std::function<Awaitable<ProbeResult>(Endpoint To, Milliseconds Timeout)> Probe;
   /// Asks whether the process could schedule, and tells it that the scheduler of \p GoneTerm seems
@@ -28,7 +28,7 @@
 /// strand.
 class Leadership {
 public:
-  Leadership(const SchedulerTools &Tools, CellView &View, LeadershipLinks Links);
+  Leadership(const SchedulerTools &Tools, CellView &View, LeadershipCallbacks Callbacks);
   void start();
   /// The picture of the cell has changed.
   void viewChanged();
@@ -61,7 +61,7 @@
 
   const SchedulerTools Tools;
   CellView &View;
-  const LeadershipLinks Links;
+  const LeadershipCallbacks Callbacks;
   TimePoint LastHandOver{};
   TimePoint StraightAt{}; ///< When the store last served this process straight.
   TermHistory Terms;      ///< Of the cell, as this process has seen them.
--- a/src/cell/leadership_test.cpp
+++ b/src/cell/leadership_test.cpp
@@ -48,17 +48,17 @@
         Metrics,
         Burn,
         [] { return true; }};
-    LeadershipLinks Links;
-    Links.Probe = [this](Endpoint, Milliseconds Time) -> Awaitable<ProbeResult> {
+    LeadershipCallbacks Callbacks;
+    Callbacks.Probe = [this](Endpoint, Milliseconds Time) -> Awaitable<ProbeResult> {
       ProbeTimes.push_back(Time);
       co_return PeerListens ? ProbeResult::Listening : ProbeResult::NoAnswer;
     };
-    Links.CouldSchedule = [this](Endpoint To, uint64_t GoneTerm) -> Awaitable<bool> {
+    Callbacks.CouldSchedule = [this](Endpoint To, uint64_t GoneTerm) -> Awaitable<bool> {
       Asked.emplace_back(To, GoneTerm);
       co_return PeerCouldSchedule;
     };
-    Links.StoreIsStraight = [this] { return StoreIsStraight; };
-    Lead = std::make_unique<Leadership>(Tools, *View, Links);
+    Callbacks.StoreIsStraight = [this] { return StoreIsStraight; };
+    Lead = std::make_unique<Leadership>(Tools, *View, Callbacks);
   }
 
   // Runs until \p Holds, for a few seconds at most.
--- a/src/cell/member_list.cpp
+++ b/src/cell/member_list.cpp
@@ -17,9 +17,9 @@
 } // namespace
 
 MemberList::MemberList(Executor Where, KeyValueStore Store, const CellSettings &Settings,
-                       uint64_t LeaderRevision, Links Around)
+                       uint64_t LeaderRevision, Callbacks Owner)
     : Where(Where), Store(std::move(Store)), Settings(Settings), LeaderRevision(LeaderRevision),
-      Around(std::move(Around)) {}
+      Owner(std::move(Owner)) {}
 
 void MemberList::start() {
   spawnLater(Where, watchLoop(shared_from_this()));
@@ -56,7 +56,7 @@
       if (Me->Stopped)
         co_return;
       if (ok(Read))
-        Me->Around.Changed();
+        Me->Owner.Changed();
       else
         co_await sleepFor(RetryPause);
       continue;
@@ -77,7 +77,7 @@
     Me->Revision = std::max(Me->Revision, value(Read).Revision);
     if (value(Read).Changes.empty())
       continue;
-    Me->Around.Changed();
+    Me->Owner.Changed();
     if (!mayHaveMore(value(Read)))
       co_await sleepFor(Gather);
   }
@@ -86,7 +86,7 @@
 Awaitable<void> MemberList::publishLoop(Self Me) {
   while (!Me->Stopped) {
     const bool Known = Me->Revision != 0 && !Me->Members.empty();
-    if (auto Next = Known ? nextRoster(Me->Around.Standing(), Me->Members) : std::nullopt) {
+    if (auto Next = Known ? nextRoster(Me->Owner.CurrentRoster(), Me->Members) : std::nullopt) {
       Transaction What;
       What.Conditions.push_back({std::string(LeaderKey), Me->LeaderRevision});
       What.Puts.push_back({std::string(RosterKey), encodeRoster(*Next), 0, 0});
--- a/src/cell/member_list.h
+++ b/src/cell/member_list.h
@@ -18,13 +18,13 @@
 class MemberList : public std::enable_shared_from_this<MemberList> {
 public:
   /// What it needs of the process around it.
-  struct Links {
-    std::function<void()> Changed;                   ///< Called after each change of the list.
-    std::function<const sched::Roster &()> Standing; ///< The roster as the store has it.
+  struct Callbacks {
+    std::function<void()> Changed;                        ///< Called after each change of the list.
+    std::function<const sched::Roster &()> CurrentRoster; ///< The roster as the store has it.
   };
   /// Writes hold as long as the leader's key is at \p LeaderRevision.
   MemberList(Executor Where, KeyValueStore Store, const CellSettings &Settings,
-             uint64_t LeaderRevision, Links Around);
+             uint64_t LeaderRevision, Callbacks Owner);
   void start();
   void stop() { Stopped = true; }
   /// By name; none before the first reading.
@@ -41,7 +41,7 @@
   const KeyValueStore Store;
   const CellSettings &Settings;
   const uint64_t LeaderRevision;
-  const Links Around;
+  const Callbacks Owner;
   std::map<std::string, sched::Member> Members;
   uint64_t Revision = 0; ///< The watch goes on from here; 0: everything has to be read.
   bool Stopped = false;
--- a/src/cell/roster_test.cpp
+++ b/src/cell/roster_test.cpp
@@ -33,7 +33,7 @@
   return Names;
 }
 
-TEST(Roster, ASmallCellStandsOnItWhole) {
+TEST(Roster, ListsEveryMemberOfSmallCell) {
   const auto All = fleetOf(7);
   const auto Next = nextRoster({}, All);
   ASSERT_TRUE(Next);
@@ -42,7 +42,7 @@
   EXPECT_FALSE(nextRoster(*Next, All)) << "nothing has changed";
 }
 
-TEST(Roster, TakesTheStrongestOfEachZone) {
+TEST(Roster, ListsStrongestMembersOfEachZone) {
   const auto Next = nextRoster({}, fleetOf(1000, 5));
   ASSERT_TRUE(Next);
   EXPECT_EQ(Next->Members.size(), RosterSize);
@@ -54,11 +54,11 @@
 }
 
 // Each change of the roster goes to every process.
-TEST(Roster, RestsWhileOthersComeAndGo) {
+TEST(Roster, StaysUnchangedWhileUnlistedMembersComeAndGo) {
   auto All = fleetOf(1000);
-  const auto Standing = nextRoster({}, All);
-  ASSERT_TRUE(Standing);
-  const std::set<std::string> Listed = namesOf(*Standing);
+  const auto Current = nextRoster({}, All);
+  ASSERT_TRUE(Current);
+  const std::set<std::string> Listed = namesOf(*Current);
   int Gone = 0;
   for (auto At = All.begin(); At != All.end() && Gone < 150;) {
     const bool Leaves = !Listed.count(At->first);
@@ -66,16 +66,16 @@
     At = Leaves ? All.erase(At) : std::next(At);
   }
   All["a-newcomer"] = memberOf("a-newcomer", "z0", 1.0);
-  EXPECT_FALSE(nextRoster(*Standing, All));
+  EXPECT_FALSE(nextRoster(*Current, All));
 }
 
-TEST(Roster, ReplacesWhoHasVanishedAndKeepsWhoMayBeBack) {
+TEST(Roster, ReplacesLostMemberAndSurvivesMassExpiry) {
   auto All = fleetOf(1000);
-  const auto Standing = nextRoster({}, All);
-  ASSERT_TRUE(Standing);
-  const std::string Lost = Standing->Members.front().Name;
+  const auto Current = nextRoster({}, All);
+  ASSERT_TRUE(Current);
+  const std::string Lost = Current->Members.front().Name;
   All.erase(Lost);
-  const auto Next = nextRoster(*Standing, All);
+  const auto Next = nextRoster(*Current, All);
   ASSERT_TRUE(Next);
   EXPECT_EQ(namesOf(*Next).count(Lost), 0u);
   // All entries but two have lapsed with an outage of the store; nobody is forgotten for that.
@@ -87,36 +87,37 @@
   EXPECT_EQ(namesOf(*After), namesOf(*Next));
 }
 
-TEST(Roster, ClaimsComeOneAfterTheOtherAndOutsidersBehind) {
+TEST(Roster, ClaimDelayOrdersListedMembersBeforeOthers) {
   std::map<std::string, Member> Known;
   for (const Member &One : {memberOf("a", "z", 0.5), memberOf("b", "z", 1.0), memberOf("c")})
     Known[One.Name] = One;
-  EXPECT_EQ(claimTurn(Known, Known.at("b")), 0ms);
-  EXPECT_EQ(claimTurn(Known, Known.at("a")), 30ms);
-  EXPECT_EQ(claimTurn(Known, Known.at("c")), 60ms);
-  EXPECT_GE(claimTurn(Known, memberOf("x", "z", 4.0)), 90ms);
+  EXPECT_EQ(claimDelay(Known, Known.at("b")), 0ms);
+  EXPECT_EQ(claimDelay(Known, Known.at("a")), 30ms);
+  EXPECT_EQ(claimDelay(Known, Known.at("c")), 60ms);
+  EXPECT_GE(claimDelay(Known, memberOf("x", "z", 4.0)), 90ms);
   // Nobody has counted yet: the strong claim before the weak.
   for (int I = 0; I < 100; ++I) {
     const std::string Name = "box-" + std::to_string(I);
-    EXPECT_LT(claimTurn({}, memberOf(Name, "z", 1.0)), claimTurn({}, memberOf("weak", "z", 0.12)));
+    EXPECT_LT(claimDelay({}, memberOf(Name, "z", 1.0)),
+              claimDelay({}, memberOf("weak", "z", 0.12)));
   }
 }
 
-TEST(Roster, AFleetOfAnySizeMakesTheSameNumberOfCalls) {
-  EXPECT_EQ(sharedPace(30, 1500ms), 1500ms);
-  EXPECT_EQ(sharedPace(0, 1500ms), 1500ms);
+TEST(Roster, SharedIntervalBoundsCallRateOfFleet) {
+  EXPECT_EQ(sharedInterval(30, 1500ms), 1500ms);
+  EXPECT_EQ(sharedInterval(0, 1500ms), 1500ms);
   for (const size_t Boxes : {100U, 300U, 585U, 750U}) {
-    const auto Pace = std::chrono::duration<double>(sharedPace(Boxes, 1500ms)).count();
+    const auto Pace = std::chrono::duration<double>(sharedInterval(Boxes, 1500ms)).count();
     EXPECT_LE(static_cast<double>(Boxes) / Pace, 67.0) << Boxes;
   }
-  EXPECT_EQ(sharedPace(100000, 1500ms), 15s);
+  EXPECT_EQ(sharedInterval(100000, 1500ms), 15s);
 }
 
-TEST(Roster, InALargeFleetFewHearTheStoreAndTheOthersShareThem) {
+TEST(Roster, LargeFleetHasFewWatchersWithBalancedLoad) {
   const auto Small = nextRoster({}, fleetOf(40));
   for (const auto &[Name, One] : fleetOf(40))
-    EXPECT_TRUE(hearsStore(*Small, Name));
-  EXPECT_TRUE(hearsStore({}, "box-1")) << "nobody has counted yet";
+    EXPECT_TRUE(watchesStore(*Small, Name));
+  EXPECT_TRUE(watchesStore({}, "box-1")) << "nobody has counted yet";
   auto All = fleetOf(1000);
   uint16_t Port = 1000;
   for (auto &[Name, One] : All)
@@ -125,10 +126,10 @@
   size_t Hear = 0;
   std::map<uint16_t, int> FirstOf;
   for (auto &[Name, One] : All) {
-    Hear += hearsStore(*Large, Name) ? 1 : 0;
-    const auto Hearers = hearersFor(*Large, Name);
-    EXPECT_EQ(Hearers.size(), RosterSize - (hearsStore(*Large, Name) ? 1 : 0));
-    ++FirstOf[Hearers.front().Port];
+    Hear += watchesStore(*Large, Name) ? 1 : 0;
+    const auto Watchers = watchersFor(*Large, Name);
+    EXPECT_EQ(Watchers.size(), RosterSize - (watchesStore(*Large, Name) ? 1 : 0));
+    ++FirstOf[Watchers.front().Port];
   }
   EXPECT_EQ(Hear, RosterSize);
   EXPECT_GE(FirstOf.size(), RosterSize - 1);
@@ -137,59 +138,59 @@
 }
 
 // What one process that does not schedule calls and is sent in some seconds of a fleet that starts.
-struct Idle {
+struct WatchTraffic {
   size_t Bytes = 0;
   int Calls = 0;
 };
 
-Idle playStart(int Boxes) {
+WatchTraffic watchFleetStart(int Boxes) {
   boost::asio::io_context Io;
   fakes::FakeKeyValueStore Store(Io);
   CellSettings Settings;
   Settings.Member = "box-0";
-  Idle Seen;
+  WatchTraffic Traffic;
   KeyValueStore Ops = Store.ops();
   Ops.Watch = [&, Inner = Ops.Watch](std::string Prefix, uint64_t After,
                                      Milliseconds Wait) -> Awaitable<Result<KeyChanges>> {
-    ++Seen.Calls;
+    ++Traffic.Calls;
     Result<KeyChanges> Read = co_await Inner(Prefix, After, Wait);
     for (const KeyChange &Change : value(Read).Changes)
-      Seen.Bytes += Change.Item.Key.size() + Change.Item.Value.size();
+      Traffic.Bytes += Change.Item.Key.size() + Change.Item.Value.size();
     co_return Read;
   };
   CellView View(Io.get_executor(), Ops, Settings, [] {});
   View.start();
   Io.run_for(20ms);
   const auto All = fleetOf(Boxes);
-  Roster Standing;
-  std::map<std::string, Member> Come;
+  Roster Current;
+  std::map<std::string, Member> Joined;
   int Count = 0;
   for (const auto &[Name, One] : All) { // the others come, and the scheduler publishes now and then
     Store.put(memberKey(Name), encodeMember(One), 0);
-    Come[Name] = One;
+    Joined[Name] = One;
     if (++Count % (Boxes / 5) != 0)
       continue;
-    if (const auto Next = nextRoster(Standing, Come)) {
-      Standing = *Next;
-      Store.put(std::string(RosterKey), encodeRoster(Standing), 0);
+    if (const auto Next = nextRoster(Current, Joined)) {
+      Current = *Next;
+      Store.put(std::string(RosterKey), encodeRoster(Current), 0);
     }
     Io.run_for(10ms);
   }
   Io.run_for(3s);
   View.stop();
   Io.run_for(20ms);
-  return Seen;
+  return Traffic;
 }
 
-TEST(Roster, AProcessThatDoesNotScheduleIsToldTheSameInAFleetOfAnySize) {
-  const Idle Small = playStart(30);
-  const Idle Large = playStart(1000);
+TEST(Roster, WatchTrafficOfNonSchedulerIsIndependentOfFleetSize) {
+  const WatchTraffic Small = watchFleetStart(30);
+  const WatchTraffic Large = watchFleetStart(1000);
   EXPECT_LE(Large.Bytes, Small.Bytes * 2) << Small.Bytes;
   EXPECT_LE(Large.Calls, Small.Calls);
 }
 
 // The scheduler knows all, and tells the others.
-TEST(Roster, IsPublishedByTheSchedulerOnly) {
+TEST(Roster, IsPublishedOnlyByCurrentScheduler) {
   boost::asio::io_context Io;
   fakes::FakeKeyValueStore Store(Io);
   CellSettings Settings;
@@ -197,10 +198,10 @@
   constexpr uint64_t Leader = 2;
   for (const auto &[Name, One] : fleetOf(40))
     Store.put(memberKey(Name), encodeMember(One), 0);
-  Roster Standing;
-  MemberList::Links Around{[] {}, [&]() -> const Roster & { return Standing; }};
+  Roster Current;
+  MemberList::Callbacks ListCallbacks{[] {}, [&]() -> const Roster & { return Current; }};
   auto List =
-      std::make_shared<MemberList>(Io.get_executor(), Store.ops(), Settings, Leader, Around);
+      std::make_shared<MemberList>(Io.get_executor(), Store.ops(), Settings, Leader, ListCallbacks);
   List->start();
   Io.run_for(700ms);
   EXPECT_EQ(List->members().size(), 40u);
