--- a/src/cell/config_watch.cpp
+++ b/src/cell/config_watch.cpp
@@ -14,24 +14,24 @@
 
 namespace {
 // After a failed call, before the next one.
-constexpr Milliseconds RetryPause{150};
+constexpr Milliseconds RetryDelay{150};
 // The store's and the peers' word is looked at this often. An operator's change has to hold on
 // every process within some seconds, so half a second here leaves room for an answer that is lost.
-constexpr Milliseconds DoubtEvery{500};
+constexpr Milliseconds RecheckInterval{500};
 // A watch is answered within its wait; one that is not for so much longer is doubted.
 constexpr Milliseconds WatchSlack{300};
 // A watch may be answered and yet be silent about changes, while a store sorts its history out.
 // The scheduler therefore reads the key, and the others hear its version with its questions for
 // advice; a process that heard none for so long asks.
-constexpr Milliseconds PeerSilence{2000};
-constexpr Milliseconds PeerSilenceInDoubt{400};
+constexpr Milliseconds MaxPeerReportAge{2000};
+constexpr Milliseconds MaxPeerReportAgeUnconfirmed{400};
 // A peer that watches the store holds its answer so long for a newer version. A process that is cut
 // off from it finds out by then and asks the next one.
-constexpr Milliseconds HeldByPeer{2000};
+constexpr Milliseconds MaxPeerHold{2000};
 // Between a peer that did not answer, or knows no version yet, and the next one.
-constexpr Milliseconds NextPeerPause{50};
+constexpr Milliseconds NextPeerDelay{50};
 // A process that hears from peers reads the store itself after so many that do not answer.
-constexpr int PeersUntilStore = 3;
+constexpr int PeerFailuresBeforeStoreRead = 3;
 } // namespace
 
 ConfigWatch::ConfigWatch(Executor Where, Clock Time, KeyValueStore Store,
@@ -39,21 +39,21 @@
                          ConfigWatchCallbacks Callbacks)
     : Where(Where), Time(std::move(Time)), Store(std::move(Store)), Settings(Settings),
       Keys(std::move(Keys)), Decode(std::move(Decode)), Callbacks(std::move(Callbacks)) {
-  CallersKeys.Seed = (uint64_t{std::random_device()()} << 32) | std::random_device()();
+  CallerKeyIndex.Seed = (uint64_t{std::random_device()()} << 32) | std::random_device()();
 }
 
 void ConfigWatch::start() {
   spawnLater(Where, watchLoop());
-  spawnLater(Where, doubtLoop());
-  spawnLater(Where, hearerLoop());
+  spawnLater(Where, recheckLoop());
+  spawnLater(Where, peerPollLoop());
 }
 
-void ConfigWatch::takeConfiguration(const KeyValue &Item) {
+void ConfigWatch::applyConfiguration(const KeyValue &Item) {
   if (Item.Key == Keys.Configuration && Item.Revision != 0)
-    takeBytes(Item.Value, "store");
+    applyEncoded(Item.Value, "store");
 }
 
-void ConfigWatch::takeZone(const KeyChange &Change) {
+void ConfigWatch::applyZoneChange(const KeyChange &Change) {
   if (!Change.Item.Key.starts_with(Keys.Evacuations) || Change.Item.Revision < Evacuated.AsOf)
     return;
   EvacuatedZones Now{Evacuated.Names, Change.Item.Revision};
@@ -62,10 +62,10 @@
     Now.Names.erase(Zone);
   else
     Now.Names.insert(Zone);
-  takeZones(std::move(Now));
+  applyZones(std::move(Now));
 }
 
-void ConfigWatch::takeZones(EvacuatedZones Now) {
+void ConfigWatch::applyZones(EvacuatedZones Now) {
   if (Now.AsOf < Evacuated.AsOf)
     return; // answers may overtake each other
   const EvacuatedZones Before = std::exchange(Evacuated, std::move(Now));
@@ -80,117 +80,117 @@
     Callbacks.ZonesChanged();
 }
 
-void ConfigWatch::takeBytes(const std::string &Read, const std::string &From) {
-  Result<CellConfiguration> Decoded = Decode(Read);
+void ConfigWatch::applyEncoded(const std::string &Encoded, const std::string &Source) {
+  Result<CellConfiguration> Decoded = Decode(Encoded);
   if (!ok(Decoded)) {
     logEvent(events::ConfigRefused, {{"why", "\"" + error(Decoded).Detail + "\""}});
     return;
   }
   if (value(Decoded).Version <= version())
     return;
-  CallersKeys = indexKeys(std::make_shared<const CellConfiguration>(std::move(value(Decoded))),
-                          CallersKeys.Seed);
-  Bytes = Read;
-  for (SteadyTimer *Held : Waiting)
+  CallerKeyIndex = indexKeys(std::make_shared<const CellConfiguration>(std::move(value(Decoded))),
+                             CallerKeyIndex.Seed);
+  EncodedConfiguration = Encoded;
+  for (SteadyTimer *Held : HeldReplies)
     Held->cancel();
-  logEvent(From == "store" ? events::ConfigInForce : events::ConfigFromPeer,
-           {{"version", std::to_string(version())}, {"from", From}});
+  logEvent(Source == "store" ? events::ConfigInForce : events::ConfigFromPeer,
+           {{"version", std::to_string(version())}, {"from", Source}});
   Callbacks.Changed();
 }
 
-bool ConfigWatch::isDoubtful() const {
-  return WatchFails || Time.Now() - Confirmed > Settings.Timing.WatchTime + WatchSlack;
+bool ConfigWatch::isUnconfirmed() const {
+  return LastWatchFailed || Time.Now() - ConfirmedAt > Settings.Timing.WatchTime + WatchSlack;
 }
 
 void ConfigWatch::notePeerVersion(const Endpoint &Peer, uint64_t Version) {
-  HeardPeer = Time.Now();
-  if (Version > version() && !Asking)
-    spawnLater(Where, askOnce(this, Peer));
+  LastPeerReport = Time.Now();
+  if (Version > version() && !FetchInProgress)
+    spawnLater(Where, fetchOnce(this, Peer));
 }
 
 bool ConfigWatch::hasStaleKeys() const {
-  const std::optional<Milliseconds> Most = Settings.Timing.UnconfirmedKeysTime;
-  return Most && Time.Now() - Confirmed > *Most;
+  const std::optional<Milliseconds> MaxAge = Settings.Timing.UnconfirmedKeysTime;
+  return MaxAge && Time.Now() - ConfirmedAt > *MaxAge;
 }
 
 Awaitable<PeerConfiguration> ConfigWatch::answerPeer(uint64_t Have, Milliseconds Wait) {
   if (version() <= Have && Wait.count() > 0) {
-    SteadyTimer Held(Where, std::min(Wait, HeldByPeer));
-    Waiting.insert(&Held);
+    SteadyTimer Held(Where, std::min(Wait, MaxPeerHold));
+    HeldReplies.insert(&Held);
     co_await Held.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
-    Waiting.erase(&Held);
+    HeldReplies.erase(&Held);
   }
   PeerConfiguration Known;
   Known.Version = version();
   if (version() > Have)
-    Known.NewerBytes = Bytes;
-  Known.ConfirmedAge = std::chrono::duration_cast<Milliseconds>(Time.Now() - Confirmed);
+    Known.NewerBytes = EncodedConfiguration;
+  Known.ConfirmedAge = std::chrono::duration_cast<Milliseconds>(Time.Now() - ConfirmedAt);
   co_return Known;
 }
 
 // True if the peer answered.
-Awaitable<bool> ConfigWatch::askPeer(Endpoint Peer, Milliseconds Wait) {
-  Asking = true;
+Awaitable<bool> ConfigWatch::fetchFromPeer(Endpoint Peer, Milliseconds Wait) {
+  FetchInProgress = true;
   const TimePoint AskedAt = Time.Now();
   Result<PeerConfiguration> Answer = co_await Callbacks.FetchFromPeer(Peer, version(), Wait);
-  Asking = false;
+  FetchInProgress = false;
   if (!ok(Answer) || Stopped) {
     ++NextPeer;
     co_return false;
   }
-  HeardPeer = Time.Now();
+  LastPeerReport = Time.Now();
   const PeerConfiguration &Known = value(Answer);
   // An answer without a newer version was held to its end.
-  const TimePoint SaidAfter = Known.NewerBytes.empty() ? AskedAt + Wait : AskedAt;
+  const TimePoint ReportedAt = Known.NewerBytes.empty() ? AskedAt + Wait : AskedAt;
   if (!Known.NewerBytes.empty())
-    takeBytes(Known.NewerBytes, toString(Peer));
+    applyEncoded(Known.NewerBytes, toString(Peer));
   if (Known.Version == version())
-    Confirmed = std::max(Confirmed, SaidAfter - Known.ConfirmedAge);
-  else if (isDoubtful())
+    ConfirmedAt = std::max(ConfirmedAt, ReportedAt - Known.ConfirmedAge);
+  else if (isUnconfirmed())
     ++NextPeer; // it knows less than this process
   co_return true;
 }
 
-Awaitable<void> ConfigWatch::askOnce(ConfigWatch *Me, Endpoint Peer) {
-  co_await Me->askPeer(std::move(Peer), Milliseconds(0));
+Awaitable<void> ConfigWatch::fetchOnce(ConfigWatch *Me, Endpoint Peer) {
+  co_await Me->fetchFromPeer(std::move(Peer), Milliseconds(0));
 }
 
 // What a process of a large cell hears from those that watch the store.
-Awaitable<void> ConfigWatch::hearerLoop() {
-  int Silent = 0;        // peers in a row
+Awaitable<void> ConfigWatch::peerPollLoop() {
+  int FailedPeers = 0;   // peers in a row
   bool Answered = false; // the peer that is next has answered just now
   while (!Stopped) {
     const std::vector<Endpoint> Watchers = Callbacks.Watchers();
-    if (Callbacks.WatchesStore() || Watchers.empty() || Asking) {
-      co_await sleepFor(RetryPause);
+    if (Callbacks.WatchesStore() || Watchers.empty() || FetchInProgress) {
+      co_await sleepFor(RetryDelay);
       continue;
     }
     // A peer that may be gone is not waited for: several in a row would hide a change for too long.
-    const bool Holds = Answered && version() != 0;
-    Answered = co_await askPeer(Watchers[NextPeer % Watchers.size()],
-                                Holds ? HeldByPeer : Milliseconds(0));
-    Silent = Answered ? 0 : Silent + 1;
-    if (Silent >= PeersUntilStore) {
+    const bool MayHold = Answered && version() != 0;
+    Answered = co_await fetchFromPeer(Watchers[NextPeer % Watchers.size()],
+                                      MayHold ? MaxPeerHold : Milliseconds(0));
+    FailedPeers = Answered ? 0 : FailedPeers + 1;
+    if (FailedPeers >= PeerFailuresBeforeStoreRead) {
       co_await readAll();
-      Silent = 0;
+      FailedPeers = 0;
     }
     if (!Answered || version() == 0)
-      co_await sleepFor(NextPeerPause);
+      co_await sleepFor(NextPeerDelay);
   }
 }
 
 // What a watch that is silent, cut or turned away does not bring.
-Awaitable<void> ConfigWatch::doubtLoop() {
+Awaitable<void> ConfigWatch::recheckLoop() {
   while (!Stopped) {
-    co_await sleepFor(DoubtEvery);
+    co_await sleepFor(RecheckInterval);
     if (Callbacks.IsScheduler())
       co_await readAll();
     if (!Callbacks.WatchesStore())
       continue;
-    const Milliseconds Patience = isDoubtful() ? PeerSilenceInDoubt : PeerSilence;
+    const Milliseconds MaxAge = isUnconfirmed() ? MaxPeerReportAgeUnconfirmed : MaxPeerReportAge;
     const std::vector<Endpoint> Peers = Callbacks.Peers();
-    if (!Asking && !Peers.empty() && Time.Now() - HeardPeer > Patience)
-      co_await askPeer(Peers[NextPeer % Peers.size()], Milliseconds(0));
+    if (!FetchInProgress && !Peers.empty() && Time.Now() - LastPeerReport > MaxAge)
+      co_await fetchFromPeer(Peers[NextPeer % Peers.size()], Milliseconds(0));
   }
 }
 
@@ -199,14 +199,14 @@
   Result<KeyRange> Read = co_await Store.Range(Keys.Prefix, false);
   if (!ok(Read))
     co_return error(Read);
-  Confirmed = Time.Now();
+  ConfirmedAt = Time.Now();
   EvacuatedZones Zones{{}, value(Read).Revision};
   for (const KeyValue &Item : value(Read).Items) {
-    takeConfiguration(Item);
+    applyConfiguration(Item);
     if (Item.Key.starts_with(Keys.Evacuations))
       Zones.Names.insert(Item.Key.substr(Keys.Evacuations.size()));
   }
-  takeZones(std::move(Zones));
+  applyZones(std::move(Zones));
   co_return value(Read).Revision;
 }
 
@@ -214,7 +214,7 @@
   while (!Stopped) {
     if (!Callbacks.WatchesStore()) {
       Revision = 0; // what changes meanwhile is read when it watches again
-      co_await sleepFor(RetryPause);
+      co_await sleepFor(RetryDelay);
       continue;
     }
     if (Revision == 0) {
@@ -222,24 +222,24 @@
       if (ok(Read))
         Revision = value(Read);
       else
-        co_await sleepFor(RetryPause);
+        co_await sleepFor(RetryDelay);
       continue;
     }
     Result<KeyChanges> Read =
         co_await Store.Watch(Keys.Prefix, Revision, Settings.Timing.WatchTime);
-    WatchFails = !ok(Read);
+    LastWatchFailed = !ok(Read);
     if (!ok(Read)) {
       if (error(Read).Kind == ErrorKind::NotFound)
         Revision = 0;
       else
-        co_await sleepFor(RetryPause);
+        co_await sleepFor(RetryDelay);
       continue;
     }
-    Confirmed = Time.Now();
+    ConfirmedAt = Time.Now();
     for (const KeyChange &Change : value(Read).Changes) {
       if (!Change.Gone)
-        takeConfiguration(Change.Item);
-      takeZone(Change);
+        applyConfiguration(Change.Item);
+      applyZoneChange(Change);
     }
     Revision = std::max(Revision, value(Read).Revision);
   }
--- a/src/cell/config_watch.h
+++ b/src/cell/config_watch.h
@@ -54,11 +54,11 @@
   void start();
   void stop() { Stopped = true; }
   /// Null until the first version was read.
-  sched::ConfigurationPtr current() const { return CallersKeys.Config; }
+  sched::ConfigurationPtr current() const { return CallerKeyIndex.Config; }
   /// The keys of the current version.
-  const KeyIndex &callerKeys() const { return CallersKeys; }
+  const KeyIndex &callerKeys() const { return CallerKeyIndex; }
   /// 0: none yet.
-  uint64_t version() const { return CallersKeys.Config ? CallersKeys.Config->Version : 0; }
+  uint64_t version() const { return CallerKeyIndex.Config ? CallerKeyIndex.Config->Version : 0; }
   /// The zones to be left empty, as last read.
   const sched::EvacuatedZones &evacuated() const { return Evacuated; }
   /// What a peer that has version \p Have is told: at once if this process has a newer one,
@@ -72,17 +72,17 @@
 
 private:
   Awaitable<void> watchLoop();
-  Awaitable<void> doubtLoop();
-  Awaitable<void> hearerLoop();
-  Awaitable<bool> askPeer(Endpoint Peer, Milliseconds Wait);
-  static Awaitable<void> askOnce(ConfigWatch *Me, Endpoint Peer);
+  Awaitable<void> recheckLoop();
+  Awaitable<void> peerPollLoop();
+  Awaitable<bool> fetchFromPeer(Endpoint Peer, Milliseconds Wait);
+  static Awaitable<void> fetchOnce(ConfigWatch *Me, Endpoint Peer);
   Awaitable<Result<uint64_t>> readAll();
   /// True if the store has not confirmed the version in force within the time of a watch.
-  bool isDoubtful() const;
-  void takeConfiguration(const KeyValue &Item);
-  void takeZone(const KeyChange &Change);
-  void takeZones(sched::EvacuatedZones Now);
-  void takeBytes(const std::string &Read, const std::string &From);
+  bool isUnconfirmed() const;
+  void applyConfiguration(const KeyValue &Item);
+  void applyZoneChange(const KeyChange &Change);
+  void applyZones(sched::EvacuatedZones Now);
+  void applyEncoded(const std::string &Encoded, const std::string &Source);
 
   const Executor Where;
   const Clock Time;
@@ -91,16 +91,16 @@
   const OperatorKeys Keys;
   const Decoder Decode;
   const ConfigWatchCallbacks Callbacks;
-  KeyIndex CallersKeys; ///< Of the version in force; its configuration is null before the first.
+  KeyIndex CallerKeyIndex; ///< Of the version in force; its configuration is null before the first.
   sched::EvacuatedZones Evacuated;
-  std::string Bytes;     ///< That version as it was read.
-  uint64_t Revision = 0; ///< The watch goes on from here; 0: everything has to be read.
-  TimePoint Confirmed{}; ///< When the store last had nothing newer, told here or to a peer.
-  TimePoint HeardPeer{}; ///< When a peer last said which version it has.
+  std::string EncodedConfiguration; ///< That version as it was read.
+  uint64_t Revision = 0;            ///< The watch goes on from here; 0: everything has to be read.
+  TimePoint ConfirmedAt{};    ///< When the store last had nothing newer, told here or to a peer.
+  TimePoint LastPeerReport{}; ///< When a peer last said which version it has.
   size_t NextPeer = 0;
-  std::set<SteadyTimer *> Waiting; ///< Answers to peers that are held.
-  bool Asking = false;             ///< A peer is being asked.
-  bool WatchFails = false;         ///< The last one had no answer that says anything.
+  std::set<SteadyTimer *> HeldReplies; ///< Answers to peers that are held.
+  bool FetchInProgress = false;        ///< A peer is being asked.
+  bool LastWatchFailed = false;        ///< The last one had no answer that says anything.
   bool Stopped = false;
 };
 
--- a/src/cell/config_watch_test.cpp
+++ b/src/cell/config_watch_test.cpp
@@ -27,8 +27,8 @@
   boost::asio::io_context Io;
   fakes::FakeKeyValueStore Store{Io};
   CellSettings Settings;
-  bool IsBlind = false;     ///< Watches are answered and tell of no change.
-  bool IsScheduler = false; ///< This process.
+  bool WatchDeliversNothing = false; ///< Watches are answered and tell of no change.
+  bool IsScheduler = false;          ///< This process.
   bool WatchesStore = true;
   PeerConfiguration PeerHas;
   bool PeerAnswers = true;
@@ -42,7 +42,7 @@
     KeyValueStore Ops = Store.ops();
     Ops.Watch = [this, Inner = Ops.Watch](std::string Prefix, uint64_t After,
                                           Milliseconds Wait) -> Awaitable<Result<KeyChanges>> {
-      if (!IsBlind)
+      if (!WatchDeliversNothing)
         co_return co_await Inner(Prefix, After, Wait);
       co_await sleepFor(Wait);
       co_return KeyChanges{{}, After};
@@ -69,7 +69,7 @@
                                            Callbacks);
     Config->start();
   }
-  void play(Milliseconds Time) {
+  void runFor(Milliseconds Time) {
     Io.restart();
     Io.run_for(Time);
   }
@@ -80,150 +80,150 @@
   }
 };
 
-TEST(ConfigWatch, APeersNewerVersionIsTakenAtOnce) {
+TEST(ConfigWatch, AppliesNewerVersionOfPeerAtOnce) {
   Bench Given;
   Given.Store.put("op/config", "3", 0);
   Given.start();
-  Given.play(50ms);
+  Given.runFor(50ms);
   ASSERT_EQ(Given.Config->version(), 3u);
   Given.Store.Down = true;
   Given.PeerHas = {"5", 5, 0ms};
   Given.Config->notePeerVersion({"127.0.0.1", 7}, 5);
-  Given.play(20ms);
+  Given.runFor(20ms);
   EXPECT_EQ(Given.Config->version(), 5u);
   EXPECT_EQ(organisationOf(Given.Config->callerKeys(), "k3"), nullptr) << "the key was taken away";
   EXPECT_NE(organisationOf(Given.Config->callerKeys(), "k5"), nullptr);
   EXPECT_EQ(Given.Changes, 2);
   Given.Store.Down = false; // it still shows the older one
-  Given.play(400ms);
+  Given.runFor(400ms);
   EXPECT_EQ(Given.Config->version(), 5u) << "never back within a life";
 }
 
-TEST(ConfigWatch, WhoHearsNeitherAsksAPeerByItself) {
+TEST(ConfigWatch, AsksPeerWhenStoreAndSchedulerAreSilent) {
   Bench Given;
   Given.Store.put("op/config", "3", 0);
   Given.start();
-  Given.play(50ms);
+  Given.runFor(50ms);
   Given.Store.Down = true;
   Given.PeerHas = {"4", 4, 0ms};
-  Given.play(1600ms);
+  Given.runFor(1600ms);
   EXPECT_EQ(Given.Config->version(), 4u);
 }
 
-TEST(ConfigWatch, TheSchedulerReadsWhereItsWatchIsSilent) {
+TEST(ConfigWatch, SchedulerReadsStoreWhenWatchDeliversNothing) {
   Bench Given;
   Given.Store.put("op/config", "3", 0);
   Given.IsScheduler = true;
   Given.start();
-  Given.play(50ms);
-  Given.IsBlind = true;
+  Given.runFor(50ms);
+  Given.WatchDeliversNothing = true;
   Given.PeerAnswers = false;
   Given.Store.put("op/config", "4", 0);
-  Given.play(800ms);
+  Given.runFor(800ms);
   EXPECT_EQ(Given.Config->version(), 4u);
 }
 
-TEST(ConfigWatch, ABadVersionLeavesTheOneBeforeInForce) {
+TEST(ConfigWatch, KeepsVersionInForceWhenNewOneIsInvalid) {
   Bench Given;
   Given.Store.put("op/config", "3", 0);
   Given.start();
-  Given.play(50ms);
+  Given.runFor(50ms);
   Given.Store.put("op/config", "bad", 0);
-  Given.play(50ms);
+  Given.runFor(50ms);
   EXPECT_EQ(Given.Config->version(), 3u);
 }
 
-TEST(ConfigWatch, WithoutWordKeysHoldOnOrEndAsTheSettingsSay) {
+TEST(ConfigWatch, UnconfirmedKeysExpireOnlyIfConfigured) {
   for (const bool Strict : {false, true}) {
     Bench Given;
     if (Strict)
       Given.Settings.Timing.UnconfirmedKeysTime = 600ms;
     Given.Store.put("op/config", "3", 0);
     Given.start();
-    Given.play(200ms);
+    Given.runFor(200ms);
     EXPECT_FALSE(Given.Config->hasStaleKeys());
     Given.Store.Down = true;
     Given.PeerHas = {"", 3, 0ms}; // a peer that hears the store confirms
-    Given.play(1500ms);
+    Given.runFor(1500ms);
     EXPECT_FALSE(Given.Config->hasStaleKeys());
     Given.PeerAnswers = false;
-    Given.play(1500ms);
+    Given.runFor(1500ms);
     EXPECT_EQ(Given.Config->hasStaleKeys(), Strict);
   }
 }
 
-TEST(ConfigWatch, KnowsTheZonesThatAreToBeLeftEmptyUntilTheRequestIsTakenBack) {
+TEST(ConfigWatch, TracksEvacuatedZonesUntilWithdrawn) {
   Bench Given;
   Given.Store.put("op/config", "3", 0);
   Given.Store.put("op/evacuate/north-a", "{}", 0);
   Given.start();
-  Given.play(20ms);
+  Given.runFor(20ms);
   EXPECT_EQ(Given.Config->evacuated().Names, std::set<std::string>{"north-a"});
   Given.Store.put("op/evacuate/north-b", "not JSON", 0);
-  Given.play(20ms);
+  Given.runFor(20ms);
   EXPECT_EQ(Given.Config->evacuated().Names, (std::set<std::string>{"north-a", "north-b"}));
   Given.Store.remove("op/evacuate/north-a");
-  Given.play(20ms);
+  Given.runFor(20ms);
   EXPECT_EQ(Given.Config->evacuated().Names, std::set<std::string>{"north-b"});
   EXPECT_EQ(Given.ZoneChanges, 3);
   EXPECT_EQ(Given.Changes, 1) << "the configuration is the same";
 }
 
 // A watch may be answered and silent for longer than an evacuation has until it is in force.
-TEST(ConfigWatch, TheSchedulerHearsOfAnEvacuationThoughWatchesAreSilent) {
+TEST(ConfigWatch, SchedulerSeesEvacuationWhenWatchDeliversNothing) {
   Bench Given;
   Given.IsScheduler = true;
   Given.start();
-  Given.play(20ms);
-  Given.IsBlind = true;
-  Given.play(150ms); // the watch that was out has ended
+  Given.runFor(20ms);
+  Given.WatchDeliversNothing = true;
+  Given.runFor(150ms); // the watch that was out has ended
   Given.Store.put("op/evacuate/north-a", "{}", 0);
-  Given.play(700ms);
+  Given.runFor(700ms);
   EXPECT_EQ(Given.Config->evacuated().Names, std::set<std::string>{"north-a"});
   Given.Store.remove("op/evacuate/north-a");
-  Given.play(700ms);
+  Given.runFor(700ms);
   EXPECT_TRUE(Given.Config->evacuated().Names.empty());
 }
 
 // In a large fleet a change goes to few processes, and from them to the others.
-TEST(ConfigWatch, AProcessThatDoesNotHearTheStoreHasAVersionAsSoonAsItsPeer) {
+TEST(ConfigWatch, NonWatcherGetsVersionFromPeerAtOnce) {
   Bench Given;
   Given.WatchesStore = false;
   Given.Store.put("op/config", "9", 0); // nobody tells it that
   Given.PeerHas = {"3", 3, 0ms};
   Given.start();
-  Given.play(300ms);
+  Given.runFor(300ms);
   EXPECT_EQ(Given.Config->version(), 3u);
   Given.PeerHas = {"4", 4, 0ms};
-  Given.play(100ms);
+  Given.runFor(100ms);
   EXPECT_EQ(Given.Config->version(), 4u) << "the peer holds its answer until then";
   const int Asked = Given.PeersAsked;
-  Given.play(2500ms);
+  Given.runFor(2500ms);
   EXPECT_LE(Given.PeersAsked - Asked, 3) << "one call each two seconds";
 }
 
-TEST(ConfigWatch, AProcessWhosePeersAreSilentReadsTheStoreAfterAll) {
+TEST(ConfigWatch, NonWatcherReadsStoreWhenPeersDoNotAnswer) {
   Bench Given;
   Given.WatchesStore = false;
   Given.PeerAnswers = false;
   Given.Store.put("op/config", "9", 0);
   Given.start();
-  Given.play(1s);
+  Given.runFor(1s);
   EXPECT_EQ(Given.Config->version(), 9u);
 }
 
-TEST(ConfigWatch, HoldsItsAnswerToAPeerUntilItHasANewerVersion) {
+TEST(ConfigWatch, HoldsReplyToPeerUntilNewerVersion) {
   Bench Given;
   Given.Store.put("op/config", "3", 0);
   Given.start();
-  Given.play(50ms);
+  Given.runFor(50ms);
   std::optional<PeerConfiguration> Told;
   boost::asio::co_spawn(Given.Io, Given.Config->answerPeer(3, 2s),
                         [&](std::exception_ptr, PeerConfiguration What) { Told = What; });
-  Given.play(100ms);
+  Given.runFor(100ms);
   EXPECT_FALSE(Told);
   Given.Store.put("op/config", "4", 0);
-  Given.play(50ms);
+  Given.runFor(50ms);
   ASSERT_TRUE(Told);
   EXPECT_EQ(Told->NewerBytes, "4");
 }
