--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -132,14 +132,14 @@
   LeadershipCallbacks leadershipCallbacks() {
     LeadershipCallbacks Callbacks;
     Callbacks.Probe = Peers.Probe;
-    Callbacks.CouldSchedule = [this](Endpoint To, uint64_t GoneTerm) -> Awaitable<bool> {
+    Callbacks.CanSchedule = [this](Endpoint To, uint64_t FailedTerm) -> Awaitable<bool> {
       cell::CandidateRequest Question;
-      Question.set_gone_term(GoneTerm);
+      Question.set_gone_term(FailedTerm);
       Result<cell::CandidateReply> Reply =
           co_await Peers.Candidate(std::move(To), Question, CandidateTimeout);
       co_return ok(Reply) && value(Reply).could_schedule();
     };
-    Callbacks.StoreIsStraight = [this] { return Router.isDirectlyReachable(); };
+    Callbacks.IsStoreDirectlyReachable = [this] { return Router.isDirectlyReachable(); };
     return Callbacks;
   }
 
@@ -292,7 +292,7 @@
     };
     Answers.Candidate = [this](cell::CandidateRequest Asked) -> Awaitable<cell::CandidateReply> {
       cell::CandidateReply Reply;
-      Reply.set_could_schedule(Lead.couldSchedule(Asked.gone_term()));
+      Reply.set_could_schedule(Lead.canSchedule(Asked.gone_term()));
       co_return Reply;
     };
     Answers.Configuration = [this](cell::ConfigurationRequest Asked) {
@@ -330,7 +330,7 @@
     if (!ok(Told) || value(Told).error() != 0)
       View.doubt();
     if (!ok(Told))
-      co_return co_await Lead.suspect();
+      co_return co_await Lead.probeLeader();
     Config.notePeerVersion(To, value(Told).config_version());
   }
 
--- a/src/cell/leadership.cpp
+++ b/src/cell/leadership.cpp
@@ -13,23 +13,23 @@
 
 namespace {
 // How often a process looks whether it should claim; a claim is worth a few calls to the store.
-constexpr Milliseconds LookEvery{40};
+constexpr Milliseconds ClaimPollInterval{40};
 // After a claim that failed.
-constexpr Milliseconds RetryPause{150};
+constexpr Milliseconds RetryDelay{150};
 // Renewals in one life of the claim; two may be lost.
-constexpr int RenewalsPerLife = 4;
+constexpr int RenewalsPerLease = 4;
 // A planned stop waits so long for what has to be saved.
-constexpr Milliseconds FlushTime{600};
+constexpr Milliseconds FlushTimeout{600};
 // Added to the turn of a process that reaches the store only through peers.
-constexpr Milliseconds DetourTurn{500};
+constexpr Milliseconds IndirectClaimDelay{500};
 // So many of the strongest processes are told that the scheduler is gone; some may be gone too.
-constexpr size_t MostTold = 4;
+constexpr size_t MaxCandidatesContacted = 4;
 // A term is given to a process with so many times the processor, or to an equal one if the store
 // does not serve this one for some time. A change costs about half a second, so it is rare.
-constexpr double MuchStronger = 1.5;
-constexpr Milliseconds DetourTime{1000};
-constexpr Milliseconds LeastTerm{2000};
-constexpr Milliseconds HandOverEvery{10000};
+constexpr double HandOverPowerRatio = 1.5;
+constexpr Milliseconds IndirectHandOverDelay{1000};
+constexpr Milliseconds MinTermDuration{2000};
+constexpr Milliseconds MinHandOverInterval{10000};
 } // namespace
 
 Leadership::Leadership(const SchedulerTools &Tools, CellView &View, LeadershipCallbacks Callbacks)
@@ -53,9 +53,9 @@
     noteTerm(Terms, View.picture().Leader->Term, Tools.Time.Now());
   // A process that has just started looks at once whether the scheduler that it reads of is there.
   // When all lost power, the claim would wait for that one's box or the end of its lease.
-  if (!HasLooked && View.picture().Leader) {
-    HasLooked = true;
-    spawnLater(Tools.Where, suspect());
+  if (!ProbedAtStart && View.picture().Leader) {
+    ProbedAtStart = true;
+    spawnLater(Tools.Where, probeLeader());
   }
   if (Runner)
     Runner->setMembers(memberNames());
@@ -75,12 +75,12 @@
 
 bool Leadership::mayClaim() const {
   const CellPicture &Now = View.picture();
-  const bool Own = Now.Leader && Now.Leader->Name == Tools.Settings.Member;
-  const bool Gone = Now.Leader && Now.Leader->Term == GoneTerm;
-  return Now.Known && (Now.LeaderRevision == 0 || Own || Gone);
+  const bool IsSelf = Now.Leader && Now.Leader->Name == Tools.Settings.Member;
+  const bool HasFailed = Now.Leader && Now.Leader->Term == FailedTerm;
+  return Now.Known && (Now.LeaderRevision == 0 || IsSelf || HasFailed);
 }
 
-Awaitable<void> Leadership::suspect() {
+Awaitable<void> Leadership::probeLeader() {
   const std::optional<Leader> Suspect = View.picture().Leader;
   if (Probing || Stopped || !Suspect || Suspect->Name == Tools.Settings.Member)
     co_return;
@@ -94,8 +94,8 @@
                                    {"term", std::to_string(Suspect->Term)},
                                    {"refused", Found == ProbeResult::Refused ? "yes" : "no"},
                                    {"probe_ms", std::to_string(Time.count())}});
-  GoneTerm = Suspect->Term;
-  tellStronger(*Suspect);
+  FailedTerm = Suspect->Term;
+  notifyStrongerMembers(*Suspect);
 }
 
 // The other members, the strongest first.
@@ -109,44 +109,45 @@
   return Others;
 }
 
-void Leadership::tellStronger(const Leader &Gone) {
-  size_t Told = 0;
+void Leadership::notifyStrongerMembers(const Leader &Failed) {
+  size_t Notified = 0;
   for (const Member &Other : membersByPower()) {
-    if (Other.Power <= Tools.Settings.Power || Told == MostTold)
+    if (Other.Power <= Tools.Settings.Power || Notified == MaxCandidatesContacted)
       break;
-    if (Other.Name == Gone.Name)
+    if (Other.Name == Failed.Name)
       continue;
-    ++Told;
+    ++Notified;
     spawnLater(Tools.Where,
                [](LeadershipCallbacks Callbacks, Endpoint To, uint64_t Term) -> Awaitable<void> {
-                 co_await Callbacks.CouldSchedule(To, Term);
-               }(Callbacks, Other.Peers, Gone.Term));
+                 co_await Callbacks.CanSchedule(To, Term);
+               }(Callbacks, Other.Peers, Failed.Term));
   }
 }
 
-bool Leadership::couldSchedule(uint64_t ToldGone) {
+bool Leadership::canSchedule(uint64_t ReportedTerm) {
   const std::optional<Leader> &Known = View.picture().Leader;
-  if (ToldGone != 0 && Known && Known->Term == ToldGone && GoneTerm != ToldGone)
-    spawnLater(Tools.Where, suspect());
-  return !Stopped && View.picture().Known && Callbacks.StoreIsStraight();
+  if (ReportedTerm != 0 && Known && Known->Term == ReportedTerm && FailedTerm != ReportedTerm)
+    spawnLater(Tools.Where, probeLeader());
+  return !Stopped && View.picture().Known && Callbacks.IsStoreDirectlyReachable();
 }
 
 // True if another process should schedule from now on, and is ready to.
-Awaitable<bool> Leadership::someoneIsBetter(TimePoint Begun) {
+Awaitable<bool> Leadership::hasBetterCandidate(TimePoint TermStart) {
   const TimePoint Now = Tools.Time.Now();
-  if (Callbacks.StoreIsStraight())
-    StraightAt = Now;
-  const bool Early = Now - Begun < LeastTerm ||
-                     (LastHandOver != TimePoint{} && Now - LastHandOver < HandOverEvery);
-  const bool Detours = Now - std::max(StraightAt, Begun) > DetourTime;
-  const double Least = Tools.Settings.Power * (Detours ? 1 : MuchStronger);
-  if (Early)
+  if (Callbacks.IsStoreDirectlyReachable())
+    LastDirectlyReachable = Now;
+  const bool TooEarly =
+      Now - TermStart < MinTermDuration ||
+      (LastHandOverAt != TimePoint{} && Now - LastHandOverAt < MinHandOverInterval);
+  const bool UsesPeers = Now - std::max(LastDirectlyReachable, TermStart) > IndirectHandOverDelay;
+  const double MinPower = Tools.Settings.Power * (UsesPeers ? 1 : HandOverPowerRatio);
+  if (TooEarly)
     co_return false;
   size_t Asked = 0;
   for (const Member &Other : membersByPower()) {
-    if (Other.Power < Least || Asked++ == MostTold)
+    if (Other.Power < MinPower || Asked++ == MaxCandidatesContacted)
       break;
-    if (co_await Callbacks.CouldSchedule(Other.Peers, 0))
+    if (co_await Callbacks.CanSchedule(Other.Peers, 0))
       co_return true;
   }
   co_return false;
@@ -154,38 +155,38 @@
 
 // Saves what is known and gives the claim up, so that another can claim at once.
 Awaitable<void> Leadership::handOver(std::shared_ptr<SchedulerRunner> Current) {
-  co_await Current->flush(FlushTime);
+  co_await Current->flush(FlushTimeout);
   Current->stop();
   co_await Tools.Store.EndLease(CurrentLease);
 }
 
-Milliseconds Leadership::turn() const {
+Milliseconds Leadership::ownClaimDelay() const {
   const Member Self{Tools.Settings.Member, Tools.Settings.Peers, Tools.Settings.Zone,
                     Tools.Settings.Power};
   return claimDelay(View.picture().Members, Self) +
-         (Callbacks.StoreIsStraight() ? Milliseconds(0) : DetourTurn);
+         (Callbacks.IsStoreDirectlyReachable() ? Milliseconds(0) : IndirectClaimDelay);
 }
 
 Awaitable<void> Leadership::loop() {
   while (!Stopped) {
     if (!mayClaim()) {
-      co_await sleepFor(LookEvery);
+      co_await sleepFor(ClaimPollInterval);
       continue;
     }
-    co_await sleepFor(turn());
+    co_await sleepFor(ownClaimDelay());
     if (!mayClaim() || Stopped)
       continue;
-    Result<Claim> Mine = co_await claim(View.picture().LeaderRevision);
-    if (ok(Mine) && !Stopped)
-      co_await serve(value(Mine));
+    Result<Claim> Own = co_await claim(View.picture().LeaderRevision);
+    if (ok(Own) && !Stopped)
+      co_await runTerm(value(Own));
     else
-      co_await sleepFor(RetryPause);
+      co_await sleepFor(RetryDelay);
   }
 }
 
-// \p Standing is the revision of the leader's key when the claim was decided on; one that another
-// process has written since is left alone.
-Awaitable<Result<Claim>> Leadership::claim(uint64_t Standing) {
+// \p ExpectedRevision is the revision of the leader's key when the claim was decided on; one that
+// another process has written since is left alone.
+Awaitable<Result<Claim>> Leadership::claim(uint64_t ExpectedRevision) {
   Result<KeyValue> Term = co_await Tools.Store.Get(std::string(TermKey));
   if (!ok(Term))
     co_return error(Term);
@@ -193,30 +194,30 @@
   if (!ok(Lease))
     co_return error(Lease);
   const std::string &Last = value(Term).Value;
-  Claim Mine;
-  Mine.Lease = value(Lease);
-  Mine.Term = (Last.empty() ? 0 : std::stoull(Last)) + 1;
-  const Leader Self{Tools.Settings.Member, Tools.Settings.Peers, Mine.Term};
+  Claim Own;
+  Own.Lease = value(Lease);
+  Own.Term = (Last.empty() ? 0 : std::stoull(Last)) + 1;
+  const Leader Self{Tools.Settings.Member, Tools.Settings.Peers, Own.Term};
   Transaction Put;
-  Put.Conditions.push_back({std::string(LeaderKey), Standing});
+  Put.Conditions.push_back({std::string(LeaderKey), ExpectedRevision});
   Put.Conditions.push_back({std::string(TermKey), value(Term).Revision});
-  Put.Puts.push_back({std::string(LeaderKey), encodeLeader(Self), 0, Mine.Lease});
-  Put.Puts.push_back({std::string(TermKey), std::to_string(Mine.Term), 0, 0});
+  Put.Puts.push_back({std::string(LeaderKey), encodeLeader(Self), 0, Own.Lease});
+  Put.Puts.push_back({std::string(TermKey), std::to_string(Own.Term), 0, 0});
   Result<TransactionResult> Written = co_await Tools.Store.Commit(std::move(Put));
   if (!ok(Written))
     co_return error(Written); // if it was done after all, the lease lapses or the key is our own
   if (!value(Written).Applied)
     co_return Error{ErrorKind::Conflict, "another process was faster"};
-  Mine.LeaderRevision = value(Written).Revision;
-  logEvent(events::ClaimMade, {{"term", std::to_string(Mine.Term)},
-                               {"revision", std::to_string(Mine.LeaderRevision)}});
-  co_return Mine;
+  Own.LeaderRevision = value(Written).Revision;
+  logEvent(events::ClaimMade,
+           {{"term", std::to_string(Own.Term)}, {"revision", std::to_string(Own.LeaderRevision)}});
+  co_return Own;
 }
 
-Awaitable<void> Leadership::serve(Claim Mine) {
-  bool Over = false;
-  Runner = std::make_shared<SchedulerRunner>(Tools, Mine, [&Over] { Over = true; });
-  CurrentLease = Mine.Lease;
+Awaitable<void> Leadership::runTerm(Claim Own) {
+  bool RunnerEnded = false;
+  Runner = std::make_shared<SchedulerRunner>(Tools, Own, [&RunnerEnded] { RunnerEnded = true; });
+  CurrentLease = Own.Lease;
   Runner->setMembers(memberNames());
   if (Config)
     Runner->setConfiguration(*Config);
@@ -229,25 +230,25 @@
   };
   ListCallbacks.CurrentRoster = [this]() -> const Roster & { return View.picture().Roster; };
   AllMembers = std::make_shared<MemberList>(Tools.Where, Tools.Store, Tools.Settings,
-                                            Mine.LeaderRevision, std::move(ListCallbacks));
+                                            Own.LeaderRevision, std::move(ListCallbacks));
   AllMembers->start();
   const auto Current = Runner;
-  const TimePoint Begun = Tools.Time.Now();
-  const char *Why = "claim-lapsed";
-  while (!Over && !Stopped) {
-    co_await sleepFor(Tools.Settings.Timing.LeaderLease / RenewalsPerLife);
+  const TimePoint TermStart = Tools.Time.Now();
+  const char *Reason = "claim-lapsed";
+  while (!RunnerEnded && !Stopped) {
+    co_await sleepFor(Tools.Settings.Timing.LeaderLease / RenewalsPerLease);
     const auto &Seen = View.picture().Leader;
-    if (Seen && Seen->Term > Mine.Term)
+    if (Seen && Seen->Term > Own.Term)
       break;
-    Result<Done> Kept = co_await Tools.Store.KeepLease(Mine.Lease);
+    Result<Done> Kept = co_await Tools.Store.KeepLease(Own.Lease);
     if (!ok(Kept) && error(Kept).Kind == ErrorKind::NotFound)
       break;
     // A store that serves nobody is no reason to hand over just as it comes back.
     if (!ok(Kept))
-      StraightAt = Tools.Time.Now();
-    if (Current->loaded() && !Over && co_await someoneIsBetter(Begun)) {
-      Why = "handed-over";
-      LastHandOver = Tools.Time.Now();
+      LastDirectlyReachable = Tools.Time.Now();
+    if (Current->loaded() && !RunnerEnded && co_await hasBetterCandidate(TermStart)) {
+      Reason = "handed-over";
+      LastHandOverAt = Tools.Time.Now();
       co_await handOver(Current);
       break;
     }
@@ -257,9 +258,9 @@
     Runner.reset();
   std::exchange(AllMembers, nullptr)->stop();
   View.setAllMembers({});
-  if (!Over)
+  if (!RunnerEnded)
     logEvent(events::TermEnded,
-             {{"term", std::to_string(Mine.Term)}, {"why", Stopped ? "planned-stop" : Why}});
+             {{"term", std::to_string(Own.Term)}, {"why", Stopped ? "planned-stop" : Reason}});
 }
 
 Awaitable<void> Leadership::leave() {
--- a/src/cell/leadership.h
+++ b/src/cell/leadership.h
@@ -17,11 +17,11 @@
 struct LeadershipCallbacks {
   /// Whether the process at an address listens.
   std::function<Awaitable<ProbeResult>(Endpoint To, Milliseconds Timeout)> Probe;
-  /// Asks whether the process could schedule, and tells it that the scheduler of \p GoneTerm seems
-  /// gone; 0: none does. Without an answer: false.
-  std::function<Awaitable<bool>(Endpoint To, uint64_t GoneTerm)> CouldSchedule;
+  /// Asks whether the process could schedule, and tells it that the scheduler of \p FailedTerm
+  /// seems gone; 0: none does. Without an answer: false.
+  std::function<Awaitable<bool>(Endpoint To, uint64_t FailedTerm)> CanSchedule;
   /// Whether the store serves this process straight.
-  std::function<bool()> StoreIsStraight;
+  std::function<bool()> IsStoreDirectlyReachable;
 };
 
 /// Claims the cell when nobody has it, and runs the scheduler while the claim holds. Lives on one
@@ -39,9 +39,9 @@
   /// A call to the scheduler failed. If nothing listens at its address it is taken for gone before
   /// its lease has run out; the fence makes that safe should it live on.
   /// Stronger processes are told, since the next scheduler should be one of them.
-  Awaitable<void> suspect();
+  Awaitable<void> probeLeader();
   /// A peer asks whether this process could schedule, and says whose scheduler seems gone.
-  bool couldSchedule(uint64_t ToldGone);
+  bool canSchedule(uint64_t ReportedTerm);
   /// Hands the cell over: saves what is known and gives the claim up at once.
   Awaitable<void> leave();
   /// The scheduler, if it runs here and has read the store; else null.
@@ -50,24 +50,24 @@
 private:
   Awaitable<void> loop();
   bool mayClaim() const;
-  Milliseconds turn() const;
-  Awaitable<Result<Claim>> claim(uint64_t Standing);
-  Awaitable<void> serve(Claim Mine);
+  Milliseconds ownClaimDelay() const;
+  Awaitable<Result<Claim>> claim(uint64_t ExpectedRevision);
+  Awaitable<void> runTerm(Claim Own);
   std::set<std::string> memberNames() const;
-  void tellStronger(const sched::Leader &Gone);
+  void notifyStrongerMembers(const sched::Leader &Failed);
   std::vector<sched::Member> membersByPower() const;
-  Awaitable<bool> someoneIsBetter(TimePoint Begun);
+  Awaitable<bool> hasBetterCandidate(TimePoint TermStart);
   Awaitable<void> handOver(std::shared_ptr<SchedulerRunner> Current);
 
   const SchedulerTools Tools;
   CellView &View;
   const LeadershipCallbacks Callbacks;
-  TimePoint LastHandOver{};
-  TimePoint StraightAt{}; ///< When the store last served this process straight.
-  TermHistory Terms;      ///< Of the cell, as this process has seen them.
-  uint64_t GoneTerm = 0;  ///< The term of a scheduler that is taken for gone; 0: none.
+  TimePoint LastHandOverAt{};
+  TimePoint LastDirectlyReachable{}; ///< When the store last served this process straight.
+  TermHistory Terms;                 ///< Of the cell, as this process has seen them.
+  uint64_t FailedTerm = 0;           ///< The term of a scheduler that is taken for gone; 0: none.
   bool Probing = false;
-  bool HasLooked = false; ///< Whether the first scheduler that was read of is there.
+  bool ProbedAtStart = false; ///< Whether the first scheduler that was read of is there.
   std::shared_ptr<SchedulerRunner> Runner;
   std::shared_ptr<MemberList> AllMembers; ///< While the runner is there.
   sched::ConfigurationPtr Config;         ///< In force here; null before the first.
--- a/src/cell/leadership_test.cpp
+++ b/src/cell/leadership_test.cpp
@@ -23,7 +23,7 @@
   bool PeerListens = true;
   std::vector<Milliseconds> ProbeTimes;
   bool PeerCouldSchedule = true;
-  bool StoreIsStraight = true;
+  bool IsStoreDirectlyReachable = true;
   Roster Published;                                 ///< Of the members that a test adds.
   std::vector<std::pair<Endpoint, uint64_t>> Asked; ///< Of peers, whether they could schedule.
 
@@ -53,11 +53,11 @@
       ProbeTimes.push_back(Time);
       co_return PeerListens ? ProbeResult::Listening : ProbeResult::NoAnswer;
     };
-    Callbacks.CouldSchedule = [this](Endpoint To, uint64_t GoneTerm) -> Awaitable<bool> {
-      Asked.emplace_back(To, GoneTerm);
+    Callbacks.CanSchedule = [this](Endpoint To, uint64_t FailedTerm) -> Awaitable<bool> {
+      Asked.emplace_back(To, FailedTerm);
       co_return PeerCouldSchedule;
     };
-    Callbacks.StoreIsStraight = [this] { return StoreIsStraight; };
+    Callbacks.IsStoreDirectlyReachable = [this] { return IsStoreDirectlyReachable; };
     Lead = std::make_unique<Leadership>(Tools, *View, Callbacks);
   }
 
@@ -80,7 +80,7 @@
   }
 };
 
-TEST(Leadership, ClaimsACellThatNobodyHas) {
+TEST(Leadership, ClaimsUnclaimedCell) {
   Bench Given("a");
   Given.View->start();
   Given.Lead->start();
@@ -89,7 +89,7 @@
   EXPECT_EQ(Given.Store.value(std::string(TermKey)), "1");
 }
 
-TEST(Leadership, LeavesAClaimMadeMeanwhileAlone) {
+TEST(Leadership, DoesNotOverwriteConcurrentClaim) {
   Bench Given("b");
   bool Raced = false;
   // Another process claims between this one's decision and its transaction, and the watch tells.
@@ -111,25 +111,25 @@
   EXPECT_EQ(Given.Lead->scheduler(), nullptr);
 }
 
-TEST(Leadership, ReplacesASchedulerAtWhoseAddressNothingListens) {
+TEST(Leadership, ReplacesSchedulerThatDoesNotListen) {
   Bench Given("b");
   Given.Store.put(std::string(LeaderKey), encodeLeader({"a", {"127.0.0.1", 2}, 3}), 0);
   Given.Store.put(std::string(TermKey), "3", 0);
   Given.View->start();
   Given.Lead->start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.View->picture().Leader.has_value(); }));
-  spawnLater(Given.Io.get_executor(), Given.Lead->suspect());
+  spawnLater(Given.Io.get_executor(), Given.Lead->probeLeader());
   Given.Io.run_for(100ms);
   EXPECT_EQ(Given.leaderName(), "a"); // it listens
   Given.PeerListens = false;
-  spawnLater(Given.Io.get_executor(), Given.Lead->suspect());
+  spawnLater(Given.Io.get_executor(), Given.Lead->probeLeader());
   EXPECT_TRUE(Given.runUntil([&] { return Given.Lead->scheduler() != nullptr; }));
   EXPECT_EQ(Given.leaderName(), "b");
   EXPECT_EQ(Given.Store.value(std::string(TermKey)), "4");
 }
 
 // Two schedulers behind full links would depose each other for ever.
-TEST(Leadership, WaitsLongerForASchedulerThatFollowedAnotherJustNow) {
+TEST(Leadership, ProbesLongerAfterRecentTakeover) {
   Bench Given("b");
   Given.Settings.Timing.LeaderLease = 1500ms;
   const auto Lead = [&](uint64_t Term) {
@@ -141,13 +141,13 @@
   ASSERT_TRUE(Given.runUntil([&] { return !Given.ProbeTimes.empty(); }));
   Lead(4);
   ASSERT_TRUE(Given.runUntil([&] { return Given.View->picture().Leader->Term == 4; }));
-  spawnLater(Given.Io.get_executor(), Given.Lead->suspect());
+  spawnLater(Given.Io.get_executor(), Given.Lead->probeLeader());
   ASSERT_TRUE(Given.runUntil([&] { return Given.ProbeTimes.size() > 1; }));
   EXPECT_EQ(Given.ProbeTimes.front(), 150ms);
   EXPECT_EQ(Given.ProbeTimes.back(), 450ms);
 }
 
-TEST(Leadership, TellsStrongerProcessesThatTheSchedulerIsGone) {
+TEST(Leadership, NotifiesStrongerMembersOfFailedScheduler) {
   Bench Given("weak");
   Given.Settings.Power = 0.1;
   Given.Store.put(std::string(LeaderKey), encodeLeader({"a", {"127.0.0.1", 2}, 3}), 0);
@@ -159,12 +159,12 @@
   Given.Lead->start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.View->picture().Leader.has_value(); }));
   Given.PeerListens = false;
-  spawnLater(Given.Io.get_executor(), Given.Lead->suspect());
+  spawnLater(Given.Io.get_executor(), Given.Lead->probeLeader());
   ASSERT_TRUE(Given.runUntil([&] { return !Given.Asked.empty(); }));
   EXPECT_EQ(Given.Asked, (std::vector{std::pair(Endpoint{"127.0.0.1", 9}, uint64_t{3})}));
 }
 
-TEST(Leadership, TakesOverWhenItIsToldThatTheSchedulerIsGone) {
+TEST(Leadership, TakesOverWhenNotifiedOfFailedScheduler) {
   Bench Given("strong");
   Given.Store.put(std::string(LeaderKey), encodeLeader({"a", {"127.0.0.1", 2}, 3}), 0);
   Given.Store.put(std::string(TermKey), "3", 0);
@@ -173,11 +173,11 @@
   ASSERT_TRUE(Given.runUntil([&] { return Given.View->picture().Leader.has_value(); }));
   Given.Io.run_for(20ms);
   Given.PeerListens = false;
-  EXPECT_TRUE(Given.Lead->couldSchedule(3));
+  EXPECT_TRUE(Given.Lead->canSchedule(3));
   EXPECT_TRUE(Given.runUntil([&] { return Given.leaderName() == "strong"; }));
 }
 
-TEST(Leadership, AProcessThatStartsLooksWhetherTheSchedulerIsThere) {
+TEST(Leadership, ProbesSchedulerAtStart) {
   Bench Given("b");
   Given.Store.put(std::string(LeaderKey), encodeLeader({"a", {"127.0.0.1", 2}, 3}), 0);
   Given.Store.put(std::string(TermKey), "3", 0);
@@ -187,7 +187,7 @@
   EXPECT_TRUE(Given.runUntil([&] { return Given.leaderName() == "b"; }));
 }
 
-TEST(Leadership, HandsOverToAMuchStrongerProcess) {
+TEST(Leadership, HandsOverToMuchStrongerProcess) {
   Bench Given("weak");
   Given.Settings.Power = 0.1;
   Given.View->start();
@@ -197,7 +197,7 @@
   EXPECT_TRUE(Given.runUntil([&] { return Given.leaderName() == ""; }));
 }
 
-TEST(Leadership, KeepsTheTermIfNobodyElseCouldSchedule) {
+TEST(Leadership, KeepsTermIfNoOtherProcessCanSchedule) {
   Bench Given("weak");
   Given.Settings.Power = 0.1;
   Given.PeerCouldSchedule = false;
@@ -210,7 +210,7 @@
   EXPECT_EQ(Given.leaderName(), "weak");
 }
 
-TEST(Leadership, HandsOverWhenTheStoreDoesNotServeIt) {
+TEST(Leadership, HandsOverWhenStoreIsNotDirectlyReachable) {
   Bench Given("a");
   Given.View->start();
   Given.Lead->start();
@@ -218,18 +218,18 @@
   Given.addMember("equal", Given.Settings.Power);
   Given.Io.run_for(2500ms);
   EXPECT_EQ(Given.leaderName(), "a");
-  Given.StoreIsStraight = false;
+  Given.IsStoreDirectlyReachable = false;
   EXPECT_TRUE(Given.runUntil([&] { return Given.leaderName() == ""; }));
 }
 
-TEST(Leadership, KeepsTheTermWhenAStoreThatServedNobodyIsBack) {
+TEST(Leadership, KeepsTermAfterStoreOutageForAll) {
   Bench Given("a");
   Given.View->start();
   Given.Lead->start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.Lead->scheduler() != nullptr; }));
   Given.addMember("equal", Given.Settings.Power);
   Given.Io.run_for(2200ms);
-  Given.StoreIsStraight = false;
+  Given.IsStoreDirectlyReachable = false;
   Given.Store.Down = true;
   Given.Io.run_for(1300ms);
   Given.Store.Down = false; // first seen through a peer
