--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -19,14 +19,14 @@
 
 namespace {
 // When calls to the store have failed for so long, new connections are better off elsewhere.
-constexpr Milliseconds StoreSilence{3000};
+constexpr Milliseconds UnreadyAfterStoreFailure{3000};
 // A store that has answered within this time is there.
-constexpr Milliseconds AnswersNow{700};
+constexpr Milliseconds StoreAnswerFreshness{700};
 // The balancer needs two missed probes, a second apart, to send new connections elsewhere.
-constexpr Milliseconds LeaveTime{2600};
+constexpr Milliseconds BalancerDrainTime{2600};
 // Kept back from the time for a planned stop, so that the process ends before it is killed.
-constexpr Milliseconds StopReserve{900};
-constexpr Milliseconds StopLook{20};
+constexpr Milliseconds StopMargin{900};
+constexpr Milliseconds StopPollInterval{20};
 // For telling the scheduler what has become durable. Without an answer it is found out whether the
 // scheduler is gone, which costs a connection if it is not, and a cell its scheduler for so long if
 // it is.
@@ -34,33 +34,33 @@
 // For asking a peer whether it could schedule.
 constexpr Milliseconds CandidateTimeout{150};
 // Two more hops of the cell's own.
-constexpr Milliseconds RelaySlack{100};
+constexpr Milliseconds RelayOverhead{100};
 // For asking the scheduler to explain a job.
 constexpr Milliseconds ExplainTimeout{2000};
 // For asking a peer for its configuration, some kilobytes.
 constexpr Milliseconds ConfigurationTimeout{300};
-constexpr size_t MostConfigurationBytes = 16 * 1024 * 1024;
+constexpr size_t MaxConfigurationBytes = 16 * 1024 * 1024;
 constexpr int HttpOk = 200;
 } // namespace
 
 class CellProcess::Impl {
 public:
-  Impl(Executor Where, CellSettings Given, Clock Time, CellPlatform From, CellLink Link,
+  Impl(Executor Where, CellSettings Given, Clock Time, CellPlatform Platform, CellLink Link,
        const TrafficMeter &Meter)
-      : Where(Where), Settings(std::move(Given)), Time(Time), From(std::move(From)),
+      : Where(Where), Settings(std::move(Given)), Time(Time), Platform(std::move(Platform)),
         Peers(std::move(Link)), Meter(Meter),
         Router(
-            Where, Time, this->From.StoreProbe, this->From.CallStore,
+            Where, Time, this->Platform.StoreProbe, this->Platform.CallStore,
             [this](Endpoint Peer, HttpRequest Request, Milliseconds Timeout) {
-              return relay(std::move(Peer), std::move(Request), Timeout);
+              return relayStoreCall(std::move(Peer), std::move(Request), Timeout);
             },
             [this] { return otherPeers(); },
-            [this](Steady::duration Took) { Metrics.observe(metrics::StoreSeconds, Took); }),
-        Store(
-            this->From.OpenStore([this](StoreCall Call) { return Router.call(std::move(Call)); })),
+            [this](Steady::duration Latency) { Metrics.observe(metrics::StoreSeconds, Latency); }),
+        Store(this->Platform.OpenStore(
+            [this](StoreCall Call) { return Router.call(std::move(Call)); })),
         View(Where, Store, Settings, [this] { Lead.viewChanged(); }),
-        Config(Where, Time, Store, Settings, this->From.Operators, this->From.DecodeConfiguration,
-               configWatchCallbacks()),
+        Config(Where, Time, Store, Settings, this->Platform.Operators,
+               this->Platform.DecodeConfiguration, configWatchCallbacks()),
         In(
             Where, Store, Time, Settings, [this] { return Router.isUnresponsive(); },
             [this](IntakeNews News) { announce(std::move(News)); }),
@@ -73,11 +73,11 @@
                   [this](HttpExchange &E) { return serveReadiness(E); }),
         Operators(Where, Settings.Metrics, serverLimits(),
                   [this](HttpExchange &E) { return serveOperator(E); }),
-        PeersIn(Where, Settings.Peers, serverLimits(), handlers()) {}
+        PeerServer(Where, Settings.Peers, serverLimits(), peerHandlers()) {}
 
   Result<Done> start() {
     for (const Result<Done> &Started :
-         {PeersIn.start(), Operators.start(), Readiness.start(), Callers.start()})
+         {PeerServer.start(), Operators.start(), Readiness.start(), Callers.start()})
       if (!ok(Started))
         return Started;
     Config.start();
@@ -91,22 +91,23 @@
       if (Stopping)
         return;
       Stopping = true;
-      spawnLater(Where, stopNow(Finished));
+      spawnLater(Where, stopGracefully(Finished));
     });
   }
 
 private:
-  Awaitable<void> stopNow(std::function<void(int)> Finished) {
-    const TimePoint Begun = Time.Now();
+  Awaitable<void> stopGracefully(std::function<void(int)> Finished) {
+    const TimePoint StartedAt = Time.Now();
     logEvent(events::Stopping, {{"in_progress", std::to_string(Callers.inProgress())}});
     Callers.beginDrain();
     co_await Lead.leave();
     co_await View.leave();
-    while (Time.Now() - Begun < LeaveTime)
-      co_await sleepFor(StopLook);
+    while (Time.Now() - StartedAt < BalancerDrainTime)
+      co_await sleepFor(StopPollInterval);
     Callers.stopAccepting();
-    while (Callers.inProgress() > 0 && Time.Now() - Begun < Settings.Timing.StopGrace - StopReserve)
-      co_await sleepFor(StopLook);
+    while (Callers.inProgress() > 0 &&
+           Time.Now() - StartedAt < Settings.Timing.StopGrace - StopMargin)
+      co_await sleepFor(StopPollInterval);
     logEvent(events::Stopped, {{"in_progress", std::to_string(Callers.inProgress())}});
     Finished(0);
   }
@@ -116,27 +117,27 @@
             Time,
             Settings,
             Store,
-            From.Workers,
+            Platform.Workers,
             [this](std::string Lane, StepKey Step, std::vector<std::string> Workers,
                    Milliseconds Timeout) {
-              return askThrough(std::move(Lane), Step, std::move(Workers), Timeout);
+              return askAdvice(std::move(Lane), Step, std::move(Workers), Timeout);
             },
-            From.WorkerPrefix,
-            From.Operators.Evacuations,
-            From.DecodeWorker,
+            Platform.WorkerPrefix,
+            Platform.Operators.Evacuations,
+            Platform.DecodeWorker,
             Metrics,
             Burn,
-            [this] { return Time.Now() - Router.lastAnswer() < AnswersNow; }};
+            [this] { return Time.Now() - Router.lastAnswer() < StoreAnswerFreshness; }};
   }
 
   LeadershipCallbacks leadershipCallbacks() {
     LeadershipCallbacks Callbacks;
     Callbacks.Probe = Peers.Probe;
     Callbacks.CanSchedule = [this](Endpoint To, uint64_t FailedTerm) -> Awaitable<bool> {
-      cell::CandidateRequest Question;
-      Question.set_gone_term(FailedTerm);
+      cell::CandidateRequest Request;
+      Request.set_gone_term(FailedTerm);
       Result<cell::CandidateReply> Reply =
-          co_await Peers.Candidate(std::move(To), Question, CandidateTimeout);
+          co_await Peers.Candidate(std::move(To), Request, CandidateTimeout);
       co_return ok(Reply) && value(Reply).could_schedule();
     };
     Callbacks.IsStoreDirectlyReachable = [this] { return Router.isDirectlyReachable(); };
@@ -146,9 +147,9 @@
   ConfigWatchCallbacks configWatchCallbacks() {
     ConfigWatchCallbacks Callbacks;
     Callbacks.FetchFromPeer = [this](Endpoint Peer, uint64_t Have, Milliseconds Wait) {
-      return askConfiguration(std::move(Peer), Have, Wait);
+      return fetchConfiguration(std::move(Peer), Have, Wait);
     };
-    Callbacks.Peers = [this] { return schedulerFirst(); };
+    Callbacks.Peers = [this] { return peersSchedulerFirst(); };
     Callbacks.IsScheduler = [this] { return Lead.scheduler() != nullptr; };
     Callbacks.WatchesStore = [this] {
       return Lead.scheduler() != nullptr || watchesStore(View.picture().Roster, Settings.Member);
@@ -159,28 +160,28 @@
     return Callbacks;
   }
 
-  Awaitable<Result<PeerConfiguration>> askConfiguration(Endpoint Peer, uint64_t Have,
-                                                        Milliseconds Wait) {
-    cell::ConfigurationRequest Question;
-    Question.set_have_version(Have);
-    Question.set_wait_ms(Wait.count());
+  Awaitable<Result<PeerConfiguration>> fetchConfiguration(Endpoint Peer, uint64_t Have,
+                                                          Milliseconds Wait) {
+    cell::ConfigurationRequest Request;
+    Request.set_have_version(Have);
+    Request.set_wait_ms(Wait.count());
     Result<cell::ConfigurationReply> Reply =
-        co_await Peers.Configuration(std::move(Peer), Question, Wait + ConfigurationTimeout);
+        co_await Peers.Configuration(std::move(Peer), Request, Wait + ConfigurationTimeout);
     if (!ok(Reply))
       co_return error(Reply);
-    const cell::ConfigurationReply &Got = value(Reply);
-    Result<std::string> NewerBytes = Got.configuration();
-    if (Got.packed())
-      NewerBytes = unpack(Got.configuration(), MostConfigurationBytes);
+    const cell::ConfigurationReply &Received = value(Reply);
+    Result<std::string> NewerBytes = Received.configuration();
+    if (Received.packed())
+      NewerBytes = unpack(Received.configuration(), MaxConfigurationBytes);
     if (!ok(NewerBytes))
       co_return error(NewerBytes);
-    co_return PeerConfiguration{std::move(value(NewerBytes)), Got.version(),
-                                Milliseconds(Got.confirmed_ms_ago())};
+    co_return PeerConfiguration{std::move(value(NewerBytes)), Received.version(),
+                                Milliseconds(Received.confirmed_ms_ago())};
   }
 
-  Awaitable<cell::ConfigurationReply> configuration(cell::ConfigurationRequest Asked) {
+  Awaitable<cell::ConfigurationReply> handleConfiguration(cell::ConfigurationRequest Request) {
     const PeerConfiguration Known =
-        co_await Config.answerPeer(Asked.have_version(), Milliseconds(Asked.wait_ms()));
+        co_await Config.answerPeer(Request.have_version(), Milliseconds(Request.wait_ms()));
     cell::ConfigurationReply Reply;
     if (!Known.NewerBytes.empty()) {
       if (PackedVersion != Known.Version)
@@ -195,7 +196,7 @@
   }
 
   // The other processes, the scheduler's before the others.
-  std::vector<Endpoint> schedulerFirst() const {
+  std::vector<Endpoint> peersSchedulerFirst() const {
     std::vector<Endpoint> Found = otherPeers();
     const auto &Leader = View.picture().Leader;
     if (!Leader || Leader->Name == Settings.Member)
@@ -206,7 +207,7 @@
   }
 
   CallerCodec callerCodec() const {
-    return {From.DecodeSubmission, From.EncodeState, From.EncodeWaiting};
+    return {Platform.DecodeSubmission, Platform.EncodeState, Platform.EncodeWaiting};
   }
 
   HttpServerLimits serverLimits() const {
@@ -219,43 +220,43 @@
   }
 
   // Advice is asked for here, or by a peer on this process's behalf.
-  Awaitable<Result<Advice>> askThrough(std::string Lane, StepKey Step,
-                                       std::vector<std::string> Workers, Milliseconds Timeout) {
+  Awaitable<Result<Advice>> askAdvice(std::string Lane, StepKey Step,
+                                      std::vector<std::string> Workers, Milliseconds Timeout) {
     if (Lane == Settings.Member)
-      co_return co_await From.Advice.Ask(Step, std::move(Workers), Timeout);
+      co_return co_await Platform.Advice.Ask(Step, std::move(Workers), Timeout);
     const auto &Members = View.picture().Members;
     const auto Found = Members.find(Lane);
     if (Found == Members.end())
       co_return Error{ErrorKind::UpstreamUnavailable, Lane + " has left"};
-    cell::AdviseRequest Question;
-    Question.set_job(Step.Job);
-    Question.set_round(Step.Round);
-    Question.set_step(Step.Step);
-    Question.set_timeout_ms(Timeout.count());
-    Question.set_config_version(Config.version());
+    cell::AdviseRequest Request;
+    Request.set_job(Step.Job);
+    Request.set_round(Step.Round);
+    Request.set_step(Step.Step);
+    Request.set_timeout_ms(Timeout.count());
+    Request.set_config_version(Config.version());
     for (std::string &Worker : Workers)
-      Question.add_worker(std::move(Worker));
+      Request.add_worker(std::move(Worker));
     Result<cell::AdviseReply> Reply =
-        co_await Peers.Advise(Found->second.Peers, std::move(Question), Timeout);
+        co_await Peers.Advise(Found->second.Peers, std::move(Request), Timeout);
     if (!ok(Reply))
       co_return error(Reply);
-    const cell::AdviseReply &Got = value(Reply);
-    if (Got.error() != 0)
-      co_return Error{static_cast<ErrorKind>(Got.error()), Got.detail()};
+    const cell::AdviseReply &Received = value(Reply);
+    if (Received.error() != 0)
+      co_return Error{static_cast<ErrorKind>(Received.error()), Received.detail()};
     Advice Read;
-    Read.Valid = Milliseconds(Got.valid_ms());
-    for (int I = 0; I < Got.good_size() && I < Got.ticket_size(); ++I)
-      Read.Good.emplace_back(Got.good(I), Got.ticket(I));
+    Read.Valid = Milliseconds(Received.valid_ms());
+    for (int I = 0; I < Received.good_size() && I < Received.ticket_size(); ++I)
+      Read.Good.emplace_back(Received.good(I), Received.ticket(I));
     co_return Read;
   }
 
-  Awaitable<cell::AdviseReply> advise(cell::AdviseRequest Asked) {
+  Awaitable<cell::AdviseReply> handleAdvise(cell::AdviseRequest Request) {
     if (const auto &Leader = View.picture().Leader; Leader && Leader->Name != Settings.Member)
-      Config.notePeerVersion(Leader->Peers, Asked.config_version());
-    const StepKey Step{Asked.job(), Asked.round(), Asked.step()};
-    std::vector<std::string> Workers(Asked.worker().begin(), Asked.worker().end());
+      Config.notePeerVersion(Leader->Peers, Request.config_version());
+    const StepKey Step{Request.job(), Request.round(), Request.step()};
+    std::vector<std::string> Workers(Request.worker().begin(), Request.worker().end());
     Result<Advice> Answer =
-        co_await From.Advice.Ask(Step, std::move(Workers), Milliseconds(Asked.timeout_ms()));
+        co_await Platform.Advice.Ask(Step, std::move(Workers), Milliseconds(Request.timeout_ms()));
     cell::AdviseReply Reply;
     if (!ok(Answer)) {
       Reply.set_error(static_cast<int>(error(Answer).Kind));
@@ -270,53 +271,57 @@
     co_return Reply;
   }
 
-  CellHandlers handlers() {
-    CellHandlers Answers;
-    Answers.Advise = [this](cell::AdviseRequest Asked) { return advise(std::move(Asked)); };
-    Answers.JobState = [this](cell::JobStateRequest Asked) -> Awaitable<cell::JobStateReply> {
-      co_return Door.jobState(Asked);
+  CellHandlers peerHandlers() {
+    CellHandlers Handlers;
+    Handlers.Advise = [this](cell::AdviseRequest Request) {
+      return handleAdvise(std::move(Request));
     };
-    Answers.Waiting = [this](cell::WaitingRequest Asked) -> Awaitable<cell::WaitingReply> {
-      co_return Door.waiting(Asked);
+    Handlers.JobState = [this](cell::JobStateRequest Request) -> Awaitable<cell::JobStateReply> {
+      co_return Door.jobState(Request);
     };
-    Answers.Explain = [this](cell::ExplainRequest Asked) -> Awaitable<cell::ExplainReply> {
+    Handlers.Waiting = [this](cell::WaitingRequest Request) -> Awaitable<cell::WaitingReply> {
+      co_return Door.waiting(Request);
+    };
+    Handlers.Explain = [this](cell::ExplainRequest Request) -> Awaitable<cell::ExplainReply> {
       cell::ExplainReply Reply;
-      if (const auto Here = Lead.scheduler())
-        Reply.set_text(Here->explain(Asked.id()));
+      if (const auto Scheduler = Lead.scheduler())
+        Reply.set_text(Scheduler->explain(Request.id()));
       else
         Reply.set_error(static_cast<int>(ErrorKind::NotOwner));
       co_return Reply;
     };
-    Answers.Announce = [this](cell::AnnounceRequest Asked) -> Awaitable<cell::AnnounceReply> {
-      co_return announced(Asked);
+    Handlers.Announce = [this](cell::AnnounceRequest Request) -> Awaitable<cell::AnnounceReply> {
+      co_return handleAnnounce(Request);
     };
-    Answers.Candidate = [this](cell::CandidateRequest Asked) -> Awaitable<cell::CandidateReply> {
+    Handlers.Candidate = [this](cell::CandidateRequest Request) -> Awaitable<cell::CandidateReply> {
       cell::CandidateReply Reply;
-      Reply.set_could_schedule(Lead.canSchedule(Asked.gone_term()));
+      Reply.set_could_schedule(Lead.canSchedule(Request.gone_term()));
       co_return Reply;
     };
-    Answers.Configuration = [this](cell::ConfigurationRequest Asked) {
-      return configuration(std::move(Asked));
+    Handlers.Configuration = [this](cell::ConfigurationRequest Request) {
+      return handleConfiguration(std::move(Request));
+    };
+    Handlers.StoreCall = [this](cell::StoreCallRequest Request) {
+      return handleStoreCall(std::move(Request));
     };
-    Answers.StoreCall = [this](cell::StoreCallRequest Asked) { return passOn(std::move(Asked)); };
-    return Answers;
+    return Handlers;
   }
 
   // What has become durable here is told to the scheduler; its watch would bring it as well.
   void announce(IntakeNews News) {
-    if (const auto Here = Lead.scheduler()) {
+    if (const auto Scheduler = Lead.scheduler()) {
       for (const std::string &Job : News.Jobs)
-        Here->announceJob(Job, News.Revision);
+        Scheduler->announceJob(Job, News.Revision);
       for (const JobId Id : News.Cancelled)
-        Here->announceCancel(Id);
+        Scheduler->announceCancel(Id);
       return;
     }
     const auto &Leader = View.picture().Leader;
     if (Leader && Leader->Name != Settings.Member)
-      spawnLater(Where, tell(Leader->Peers, std::move(News)));
+      spawnLater(Where, sendAnnouncement(Leader->Peers, std::move(News)));
   }
 
-  Awaitable<void> tell(Endpoint To, IntakeNews News) {
+  Awaitable<void> sendAnnouncement(Endpoint To, IntakeNews News) {
     cell::AnnounceRequest Message;
     Message.set_revision(News.Revision);
     Message.set_config_version(Config.version());
@@ -334,18 +339,18 @@
     Config.notePeerVersion(To, value(Told).config_version());
   }
 
-  cell::AnnounceReply announced(const cell::AnnounceRequest &News) {
+  cell::AnnounceReply handleAnnounce(const cell::AnnounceRequest &News) {
     cell::AnnounceReply Reply;
     Reply.set_config_version(Config.version());
-    const auto Here = Lead.scheduler();
-    if (!Here) {
+    const auto Scheduler = Lead.scheduler();
+    if (!Scheduler) {
       Reply.set_error(static_cast<int>(ErrorKind::NotOwner));
       return Reply;
     }
     for (const std::string &Job : News.job())
-      Here->announceJob(Job, News.revision());
+      Scheduler->announceJob(Job, News.revision());
     for (const JobId Id : News.cancelled())
-      Here->announceCancel(Id);
+      Scheduler->announceCancel(Id);
     return Reply;
   }
 
@@ -358,28 +363,29 @@
   }
 
   // A call to the store through a peer, and one for a peer.
-  Awaitable<Result<HttpResponse>> relay(Endpoint Peer, HttpRequest Request, Milliseconds Timeout) {
+  Awaitable<Result<HttpResponse>> relayStoreCall(Endpoint Peer, HttpRequest Request,
+                                                 Milliseconds Timeout) {
     cell::StoreCallRequest Message;
     Message.set_method(std::move(Request.Method));
     Message.set_target(std::move(Request.Target));
     Message.set_body(std::move(Request.Body));
     Message.set_timeout_ms(Timeout.count());
     Result<cell::StoreCallReply> Reply =
-        co_await Peers.StoreCall(Peer, std::move(Message), Timeout + RelaySlack);
+        co_await Peers.StoreCall(Peer, std::move(Message), Timeout + RelayOverhead);
     if (!ok(Reply))
       co_return error(Reply);
-    const cell::StoreCallReply &Got = value(Reply);
-    if (Got.error() != 0)
-      co_return Error{static_cast<ErrorKind>(Got.error()), Got.detail()};
-    co_return HttpResponse{Got.status(), {}, Got.body()};
+    const cell::StoreCallReply &Received = value(Reply);
+    if (Received.error() != 0)
+      co_return Error{static_cast<ErrorKind>(Received.error()), Received.detail()};
+    co_return HttpResponse{Received.status(), {}, Received.body()};
   }
 
-  Awaitable<cell::StoreCallReply> passOn(cell::StoreCallRequest Asked) {
-    HttpRequest Request{Asked.method(), Asked.target(), {}, Asked.body()};
+  Awaitable<cell::StoreCallReply> handleStoreCall(cell::StoreCallRequest Message) {
+    HttpRequest Request{Message.method(), Message.target(), {}, Message.body()};
     if (!Request.Body.empty())
       Request.Headers.emplace_back("Content-Type", "application/json");
     Result<HttpResponse> Answer =
-        co_await Router.callForPeer(std::move(Request), Milliseconds(Asked.timeout_ms()));
+        co_await Router.callForPeer(std::move(Request), Milliseconds(Message.timeout_ms()));
     cell::StoreCallReply Reply;
     if (ok(Answer)) {
       Reply.set_status(value(Answer).Status);
@@ -393,24 +399,24 @@
 
   Awaitable<void> serveCaller(HttpExchange &Exchange) {
     const ConfigurationPtr Now = Config.current();
-    const auto MostBytes =
+    const auto MaxBytes =
         static_cast<size_t>(Now ? Now->MaxBodyBytes : CellConfiguration{}.MaxBodyBytes);
     Result<std::string> Body = std::string();
     if (Exchange.hasBody())
-      Body = co_await readWhole(Exchange, MostBytes);
+      Body = co_await readWhole(Exchange, MaxBytes);
     if (!ok(Body)) {
       HttpResponse Refusal = errorResponse(error(Body));
       co_await sendWhole(Exchange, std::move(Refusal));
       co_return;
     }
-    CallerRequest Asked{
+    CallerRequest Request{
         Exchange.method(), Exchange.target(), std::string(findHeader(Exchange.headers(), "Host")),
-        callerKey(Exchange.headers(), From.CallerKeyHeader), std::move(value(Body))};
+        callerKey(Exchange.headers(), Platform.CallerKeyHeader), std::move(value(Body))};
     // On the strand of this process, where all state lives.
-    const TimePoint Came = Time.Now();
-    HttpResponse Answer = co_await boost::asio::co_spawn(Where, Door.answer(std::move(Asked)),
+    const TimePoint ReceivedAt = Time.Now();
+    HttpResponse Answer = co_await boost::asio::co_spawn(Where, Door.answer(std::move(Request)),
                                                          boost::asio::use_awaitable);
-    Metrics.observe(metrics::CallSeconds, Time.Now() - Came);
+    Metrics.observe(metrics::CallSeconds, Time.Now() - ReceivedAt);
     Metrics.count(metrics::Calls, Exchange.method() + " " + std::to_string(Answer.Status));
     co_await sendWhole(Exchange, std::move(Answer));
   }
@@ -441,13 +447,13 @@
   Awaitable<HttpResponse> explain(JobId Id) {
     std::string Text;
     const auto &Leader = View.picture().Leader;
-    if (const auto Here = Lead.scheduler()) {
-      Text = Here->explain(Id);
+    if (const auto Scheduler = Lead.scheduler()) {
+      Text = Scheduler->explain(Id);
     } else if (Leader && Leader->Name != Settings.Member) {
-      cell::ExplainRequest Question;
-      Question.set_id(Id);
+      cell::ExplainRequest Request;
+      Request.set_id(Id);
       Result<cell::ExplainReply> Reply =
-          co_await Peers.Explain(Leader->Peers, Question, ExplainTimeout);
+          co_await Peers.Explain(Leader->Peers, Request, ExplainTimeout);
       if (!ok(Reply))
         co_return errorResponse(error(Reply));
       Text = value(Reply).text();
@@ -458,7 +464,8 @@
   }
 
   Awaitable<void> serveReadiness(HttpExchange &Exchange) {
-    const bool Ready = !Stopping && Config.current() && Router.failingFor() < StoreSilence;
+    const bool Ready =
+        !Stopping && Config.current() && Router.failingFor() < UnreadyAfterStoreFailure;
     if (Ready != WasReady)
       logEvent(
           Ready ? events::BecameReady : events::BecameUnready,
@@ -478,7 +485,7 @@
   const Executor Where;
   const CellSettings Settings;
   const Clock Time;
-  const CellPlatform From;
+  const CellPlatform Platform;
   const CellLink Peers;
   const TrafficMeter &Meter;
   CellMetrics Metrics;
@@ -493,16 +500,16 @@
   HttpServer Callers;
   HttpServer Readiness;
   HttpServer Operators;
-  CellServer PeersIn;
+  CellServer PeerServer;
   std::string Packed;         ///< The newest configuration that a peer was told,
   uint64_t PackedVersion = 0; ///< and its version.
   bool Stopping = false;
   bool WasReady = false;
 };
 
-CellProcess::CellProcess(Executor Where, CellSettings Settings, Clock Time, CellPlatform From,
+CellProcess::CellProcess(Executor Where, CellSettings Settings, Clock Time, CellPlatform Platform,
                          CellLink Peers, const TrafficMeter &Meter)
-    : Inner(std::make_unique<Impl>(Where, std::move(Settings), std::move(Time), std::move(From),
+    : Inner(std::make_unique<Impl>(Where, std::move(Settings), std::move(Time), std::move(Platform),
                                    std::move(Peers), Meter)) {}
 CellProcess::~CellProcess() = default;
 Result<Done> CellProcess::start() { return Inner->start(); }
--- a/src/include/valveshelf/cell_process.h
+++ b/src/include/valveshelf/cell_process.h
@@ -41,8 +41,8 @@
 class CellProcess {
 public:
   /// \p Meter has counted what the links send, and outlives the process.
-  CellProcess(Executor Where, CellSettings Settings, Clock Time, CellPlatform From, CellLink Peers,
-              const TrafficMeter &Meter);
+  CellProcess(Executor Where, CellSettings Settings, Clock Time, CellPlatform Platform,
+              CellLink Peers, const TrafficMeter &Meter);
   ~CellProcess();
   CellProcess(const CellProcess &) = delete;
   CellProcess &operator=(const CellProcess &) = delete;
--- a/src/valveshelf/serve_command.cpp
+++ b/src/valveshelf/serve_command.cpp
@@ -24,27 +24,29 @@
 constexpr size_t IdleShare = 2;
 
 CellPlatform connect(HttpClient &Client, const CellSettings &Settings) {
-  CellPlatform From;
-  From.CallStore = [&Client, Address = Settings.Store](HttpRequest Request, Milliseconds Timeout) {
+  CellPlatform Platform;
+  Platform.CallStore = [&Client, Address = Settings.Store](HttpRequest Request,
+                                                           Milliseconds Timeout) {
     CallOptions Options;
     Options.Timeout = Timeout;
     Options.Kind = platform::storeCallKind(Request);
     return Client.send(Address, std::move(Request), Options);
   };
-  From.StoreProbe = platform::readRequest(std::string(sched::TermKey));
-  From.OpenStore = platform::openStore;
-  From.Workers = platform::openWorkers(Client);
-  From.Advice = platform::openAdvice(Client, Settings.Advice);
-  From.CallerKeyHeader = platform::CallerKeyHeader;
-  From.Operators = {std::string(platform::OperatorPrefix), std::string(platform::ConfigurationKey),
-                    std::string(platform::EvacuationPrefix)};
-  From.WorkerPrefix = platform::WorkerPrefix;
-  From.DecodeConfiguration = platform::decodeConfiguration;
-  From.DecodeWorker = platform::decodeWorker;
-  From.DecodeSubmission = platform::decodeSubmission;
-  From.EncodeState = platform::encodeJobState;
-  From.EncodeWaiting = platform::encodeWaiting;
-  return From;
+  Platform.StoreProbe = platform::readRequest(std::string(sched::TermKey));
+  Platform.OpenStore = platform::openStore;
+  Platform.Workers = platform::openWorkers(Client);
+  Platform.Advice = platform::openAdvice(Client, Settings.Advice);
+  Platform.CallerKeyHeader = platform::CallerKeyHeader;
+  Platform.Operators = {std::string(platform::OperatorPrefix),
+                        std::string(platform::ConfigurationKey),
+                        std::string(platform::EvacuationPrefix)};
+  Platform.WorkerPrefix = platform::WorkerPrefix;
+  Platform.DecodeConfiguration = platform::decodeConfiguration;
+  Platform.DecodeWorker = platform::decodeWorker;
+  Platform.DecodeSubmission = platform::decodeSubmission;
+  Platform.EncodeState = platform::encodeJobState;
+  Platform.EncodeWaiting = platform::encodeWaiting;
+  return Platform;
 }
 
 // A changed file is checked and reported; its addresses hold until the next start.
@@ -82,8 +84,8 @@
   const std::string Addresses = "callers=" + toString(Settings.Callers) +
                                 " peers=" + toString(Settings.Peers) +
                                 " store=" + toString(Settings.Store);
-  CellPlatform From = connect(Client, Settings);
-  CellProcess Process(Where, std::move(Settings), Clock{}, std::move(From),
+  CellPlatform Platform = connect(Client, Settings);
+  CellProcess Process(Where, std::move(Settings), Clock{}, std::move(Platform),
                       makeHttpCellLink(Client), Meter);
   if (Result<Done> Started = Process.start(); !ok(Started)) {
     std::cerr << "valveshelf serve: " << error(Started).Detail << "\n";
