--- a/src/cell/caller_keys.cpp
+++ b/src/cell/caller_keys.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 // Longer than any key that is handed out (20 bytes) by far; keeps what is hashed short.
-constexpr size_t MostKeyBytes = 200;
-constexpr unsigned char FirstPrintable = 0x20;
-constexpr unsigned char Delete = 0x7f;
+constexpr size_t MaxKeyBytes = 200;
+constexpr unsigned char AsciiSpace = 0x20;
+constexpr unsigned char AsciiDelete = 0x7f;
 
 KeyIndex::Digest digestOf(std::string_view Key, uint64_t Seed) {
   const XXH128_hash_t Hash = XXH3_128bits_withSeed(Key.data(), Key.size(), Seed);
@@ -23,7 +23,7 @@
 }
 
 // Looks at every byte, whichever differs first.
-bool isSame(std::string_view A, std::string_view B) {
+bool equalInConstantTime(std::string_view A, std::string_view B) {
   if (A.size() != B.size())
     return false;
   unsigned Differences = 0;
@@ -32,16 +32,16 @@
   return Differences == 0;
 }
 
-bool canBeKey(std::string_view Text) {
-  return !Text.empty() && Text.size() <= MostKeyBytes &&
-         std::none_of(Text.begin(), Text.end(), [](char Letter) {
-           const auto Byte = static_cast<unsigned char>(Letter);
-           return Byte < FirstPrintable || Byte == Delete;
+bool isWellFormedKey(std::string_view Text) {
+  return !Text.empty() && Text.size() <= MaxKeyBytes &&
+         std::none_of(Text.begin(), Text.end(), [](char Character) {
+           const auto Byte = static_cast<unsigned char>(Character);
+           return Byte < AsciiSpace || Byte == AsciiDelete;
          });
 }
 } // namespace
 
-KeyIndex indexKeys(ConfigurationPtr Config, uint64_t Seed) {
+KeyIndex makeKeyIndex(ConfigurationPtr Config, uint64_t Seed) {
   KeyIndex Index{std::move(Config), Seed, {}};
   if (!Index.Config || !Index.Config->Organisations)
     return Index;
@@ -51,20 +51,20 @@
   return Index;
 }
 
-const Organisation *organisationOf(const KeyIndex &Index, std::string_view Key) {
+const Organisation *findKeyOwner(const KeyIndex &Index, std::string_view Key) {
   const auto Found = Index.Entries.find(digestOf(Key, Index.Seed));
-  if (Found == Index.Entries.end() || !isSame(Found->second.Key, Key))
+  if (Found == Index.Entries.end() || !equalInConstantTime(Found->second.Key, Key))
     return nullptr;
   return Found->second.Owner;
 }
 
-std::optional<std::string> callerKey(const HeaderList &Headers, std::string_view Name) {
+std::optional<std::string> readCallerKey(const HeaderList &Headers, std::string_view Name) {
   const auto IsKey = [&](const auto &Field) { return boost::beast::iequals(Field.first, Name); };
   const auto First = std::find_if(Headers.begin(), Headers.end(), IsKey);
   if (First == Headers.end() ||
       std::find_if(std::next(First), Headers.end(), IsKey) != Headers.end())
     return std::nullopt;
-  return canBeKey(First->second) ? std::optional(First->second) : std::nullopt;
+  return isWellFormedKey(First->second) ? std::optional(First->second) : std::nullopt;
 }
 
 } // namespace valveshelf
--- a/src/cell/caller_keys.h
+++ b/src/cell/caller_keys.h
@@ -26,13 +26,13 @@
   std::map<Digest, Entry> Entries;
 };
 
-KeyIndex indexKeys(sched::ConfigurationPtr Config, uint64_t Seed);
+KeyIndex makeKeyIndex(sched::ConfigurationPtr Config, uint64_t Seed);
 
 /// The organisation whose key it is; null: the key is not in force.
-const sched::Organisation *organisationOf(const KeyIndex &Index, std::string_view Key);
+const sched::Organisation *findKeyOwner(const KeyIndex &Index, std::string_view Key);
 
 /// The key in header field \p Name. Empty if there is none, if it stands there twice, or if it
 /// can't be a key: no bytes, more than 200, or control characters.
-std::optional<std::string> callerKey(const HeaderList &Headers, std::string_view Name);
+std::optional<std::string> readCallerKey(const HeaderList &Headers, std::string_view Name);
 
 } // namespace valveshelf
--- a/src/cell/caller_keys_test.cpp
+++ b/src/cell/caller_keys_test.cpp
@@ -14,29 +14,29 @@
   return std::make_shared<const CellConfiguration>(Config);
 }
 
-TEST(CallerKeys, EachKeyOfAnOrganisationIsItsOwn) {
-  const KeyIndex Index = indexKeys(twoOrganisations(), 17);
-  ASSERT_NE(organisationOf(Index, "n-first"), nullptr);
-  EXPECT_EQ(organisationOf(Index, "n-first")->Name, "north");
-  EXPECT_EQ(organisationOf(Index, "n-second")->Name, "north");
+TEST(CallerKeys, FindsOrganisationByEachOfItsKeys) {
+  const KeyIndex Index = makeKeyIndex(twoOrganisations(), 17);
+  ASSERT_NE(findKeyOwner(Index, "n-first"), nullptr);
+  EXPECT_EQ(findKeyOwner(Index, "n-first")->Name, "north");
+  EXPECT_EQ(findKeyOwner(Index, "n-second")->Name, "north");
 }
 
-TEST(CallerKeys, WhatIsNotInForceIsNobodys) {
-  const KeyIndex Index = indexKeys(twoOrganisations(), 17);
+TEST(CallerKeys, UnknownKeyHasNoOwner) {
+  const KeyIndex Index = makeKeyIndex(twoOrganisations(), 17);
   for (const char *Key : {"", "n-firs", "n-first ", "N-first", "north", "south"})
-    EXPECT_EQ(organisationOf(Index, Key), nullptr) << Key;
-  EXPECT_EQ(organisationOf(indexKeys(nullptr, 1), "n-first"), nullptr);
+    EXPECT_EQ(findKeyOwner(Index, Key), nullptr) << Key;
+  EXPECT_EQ(findKeyOwner(makeKeyIndex(nullptr, 1), "n-first"), nullptr);
 }
 
-TEST(CallerKeys, AFieldThatStandsTwiceOrCantBeAKeyIsNone) {
+TEST(CallerKeys, RejectsDuplicateOrMalformedKeyField) {
   const std::string Name = "Key";
-  EXPECT_EQ(callerKey({{"key", "abc"}}, Name), "abc");
-  EXPECT_EQ(callerKey({{"Other", "abc"}}, Name), std::nullopt);
-  EXPECT_EQ(callerKey({{"Key", "abc"}, {"KEY", "abc"}}, Name), std::nullopt);
-  EXPECT_EQ(callerKey({{"Key", ""}}, Name), std::nullopt);
-  EXPECT_EQ(callerKey({{"Key", std::string(201, 'x')}}, Name), std::nullopt);
-  EXPECT_EQ(callerKey({{"Key", std::string(200, 'x')}}, Name), std::string(200, 'x'));
-  EXPECT_EQ(callerKey({{"Key", "a\tb"}}, Name), std::nullopt);
+  EXPECT_EQ(readCallerKey({{"key", "abc"}}, Name), "abc");
+  EXPECT_EQ(readCallerKey({{"Other", "abc"}}, Name), std::nullopt);
+  EXPECT_EQ(readCallerKey({{"Key", "abc"}, {"KEY", "abc"}}, Name), std::nullopt);
+  EXPECT_EQ(readCallerKey({{"Key", ""}}, Name), std::nullopt);
+  EXPECT_EQ(readCallerKey({{"Key", std::string(201, 'x')}}, Name), std::nullopt);
+  EXPECT_EQ(readCallerKey({{"Key", std::string(200, 'x')}}, Name), std::string(200, 'x'));
+  EXPECT_EQ(readCallerKey({{"Key", "a\tb"}}, Name), std::nullopt);
 }
 
 } // namespace
--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -411,7 +411,7 @@
     }
     CallerRequest Request{
         Exchange.method(), Exchange.target(), std::string(findHeader(Exchange.headers(), "Host")),
-        callerKey(Exchange.headers(), Platform.CallerKeyHeader), std::move(value(Body))};
+        readCallerKey(Exchange.headers(), Platform.CallerKeyHeader), std::move(value(Body))};
     // On the strand of this process, where all state lives.
     const TimePoint ReceivedAt = Time.Now();
     HttpResponse Answer = co_await boost::asio::co_spawn(Where, Door.answer(std::move(Request)),
--- a/src/cell/config_watch.cpp
+++ b/src/cell/config_watch.cpp
@@ -88,8 +88,8 @@
   }
   if (value(Decoded).Version <= version())
     return;
-  CallerKeyIndex = indexKeys(std::make_shared<const CellConfiguration>(std::move(value(Decoded))),
-                             CallerKeyIndex.Seed);
+  CallerKeyIndex = makeKeyIndex(
+      std::make_shared<const CellConfiguration>(std::move(value(Decoded))), CallerKeyIndex.Seed);
   EncodedConfiguration = Encoded;
   for (SteadyTimer *Held : HeldReplies)
     Held->cancel();
--- a/src/cell/config_watch_test.cpp
+++ b/src/cell/config_watch_test.cpp
@@ -91,8 +91,8 @@
   Given.Config->notePeerVersion({"127.0.0.1", 7}, 5);
   Given.runFor(20ms);
   EXPECT_EQ(Given.Config->version(), 5u);
-  EXPECT_EQ(organisationOf(Given.Config->callerKeys(), "k3"), nullptr) << "the key was taken away";
-  EXPECT_NE(organisationOf(Given.Config->callerKeys(), "k5"), nullptr);
+  EXPECT_EQ(findKeyOwner(Given.Config->callerKeys(), "k3"), nullptr) << "the key was taken away";
+  EXPECT_NE(findKeyOwner(Given.Config->callerKeys(), "k5"), nullptr);
   EXPECT_EQ(Given.Changes, 2);
   Given.Store.Down = false; // it still shows the older one
   Given.runFor(400ms);
--- a/src/cell/front_door.cpp
+++ b/src/cell/front_door.cpp
@@ -72,7 +72,7 @@
     return std::string();
   if (Config.hasStaleKeys())
     return Error{ErrorKind::StoreUnavailable, "keys can't be confirmed just now"};
-  const Organisation *Of = Asked.Key ? organisationOf(Config.callerKeys(), *Asked.Key) : nullptr;
+  const Organisation *Of = Asked.Key ? findKeyOwner(Config.callerKeys(), *Asked.Key) : nullptr;
   if (!Of)
     return Error{ErrorKind::UnknownKey, Asked.Key ? "the key is not in force"
                                                   : "a key is needed here, one and well formed"};
--- a/src/cell/member_list.cpp
+++ b/src/cell/member_list.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 // After a failed call, before the next one.
-constexpr Milliseconds RetryPause{150};
+constexpr Milliseconds RetryDelay{150};
 // Between two watches: when a fleet starts, its processes come together.
-constexpr Milliseconds Gather{250};
+constexpr Milliseconds BatchDelay{250};
 // Between two looks at the roster; each change of it goes to every process.
-constexpr Milliseconds PublishEvery{500};
+constexpr Milliseconds PublishInterval{500};
 } // namespace
 
 MemberList::MemberList(Executor Where, KeyValueStore Store, const CellSettings &Settings,
@@ -26,7 +26,7 @@
   spawnLater(Where, publishLoop(shared_from_this()));
 }
 
-void MemberList::take(const KeyValue &Item, bool Gone) {
+void MemberList::applyChange(const KeyValue &Item, bool Gone) {
   const std::string Name = Item.Key.substr(MemberPrefix.size());
   Members.erase(Name);
   if (Gone)
@@ -44,7 +44,7 @@
     co_return error(Read);
   Members.clear();
   for (const KeyValue &Item : value(Read).Items)
-    take(Item, false);
+    applyChange(Item, false);
   Revision = value(Read).Revision;
   co_return Done{};
 }
@@ -58,7 +58,7 @@
       if (ok(Read))
         Me->Owner.Changed();
       else
-        co_await sleepFor(RetryPause);
+        co_await sleepFor(RetryDelay);
       continue;
     }
     Result<KeyChanges> Read = co_await Me->Store.Watch(std::string(MemberPrefix), Me->Revision,
@@ -69,17 +69,17 @@
       if (error(Read).Kind == ErrorKind::NotFound)
         Me->Revision = 0;
       else
-        co_await sleepFor(RetryPause);
+        co_await sleepFor(RetryDelay);
       continue;
     }
     for (const KeyChange &Change : value(Read).Changes)
-      Me->take(Change.Item, Change.Gone);
+      Me->applyChange(Change.Item, Change.Gone);
     Me->Revision = std::max(Me->Revision, value(Read).Revision);
     if (value(Read).Changes.empty())
       continue;
     Me->Owner.Changed();
     if (!mayHaveMore(value(Read)))
-      co_await sleepFor(Gather);
+      co_await sleepFor(BatchDelay);
   }
 }
 
@@ -87,13 +87,13 @@
   while (!Me->Stopped) {
     const bool Known = Me->Revision != 0 && !Me->Members.empty();
     if (auto Next = Known ? nextRoster(Me->Owner.CurrentRoster(), Me->Members) : std::nullopt) {
-      Transaction What;
-      What.Conditions.push_back({std::string(LeaderKey), Me->LeaderRevision});
-      What.Puts.push_back({std::string(RosterKey), encodeRoster(*Next), 0, 0});
+      Transaction Write;
+      Write.Conditions.push_back({std::string(LeaderKey), Me->LeaderRevision});
+      Write.Puts.push_back({std::string(RosterKey), encodeRoster(*Next), 0, 0});
       // One that is not written is looked at again; the watch brings what stands.
-      co_await Me->Store.Commit(std::move(What));
+      co_await Me->Store.Commit(std::move(Write));
     }
-    co_await sleepFor(PublishEvery);
+    co_await sleepFor(PublishInterval);
   }
 }
 
--- a/src/cell/member_list.h
+++ b/src/cell/member_list.h
@@ -35,7 +35,7 @@
   static Awaitable<void> watchLoop(Self Me);
   static Awaitable<void> publishLoop(Self Me);
   Awaitable<Result<Done>> readAll();
-  void take(const KeyValue &Item, bool Gone);
+  void applyChange(const KeyValue &Item, bool Gone);
 
   const Executor Where;
   const KeyValueStore Store;
