--- a/src/cell/caller_api.cpp
+++ b/src/cell/caller_api.cpp
@@ -70,10 +70,10 @@
 Result<std::string> CallerApi::identify(const Queue &To, const CallerRequest &Request) const {
   if (To.Public || !Config.current()->Organisations)
     return std::string();
-  if (Config.isTooOld())
+  if (Config.hasStaleKeys())
     return Error{ErrorKind::StoreUnavailable, "keys can't be confirmed just now"};
   const Organisation *Of =
-      Request.Key ? organisationOf(Config.callerKeys(), *Request.Key) : nullptr;
+      Request.Key ? findKeyOwner(Config.callerKeys(), *Request.Key) : nullptr;
   if (!Of)
     return Error{ErrorKind::UnknownKey, Request.Key ? "the key is not in force"
                                                     : "a key is needed here, one and well formed"};
--- a/src/cell/cell_view.cpp
+++ b/src/cell/cell_view.cpp
@@ -68,11 +68,11 @@
 }
 
 Milliseconds CellView::watchTime() const {
-  return sharedPace(Snapshot.Roster.Processes, Settings.Timing.WatchTime);
+  return sharedInterval(Snapshot.Roster.Processes, Settings.Timing.WatchTime);
 }
 
 Milliseconds CellView::memberLease() const {
-  return sharedPace(Snapshot.Roster.Processes, Settings.Timing.MemberLease);
+  return sharedInterval(Snapshot.Roster.Processes, Settings.Timing.MemberLease);
 }
 
 void CellView::refreshSoon() {
--- a/src/cell/intake.cpp
+++ b/src/cell/intake.cpp
@@ -34,7 +34,7 @@
   Submission->Id = Spec.Id;
   Submission->Organisation = Spec.Organisation;
   Submission->Bytes = encodeJob(Spec);
-  Submission->Deadline = Time.Now() + Settings.Timing.SubmitLimit;
+  Submission->Deadline = Time.Now() + Settings.Timing.SubmitTimeout;
   Waiting.push_back(Submission);
   dispatch();
   while (!Submission->Outcome)
@@ -126,7 +126,7 @@
 }
 
 Awaitable<Result<Done>> Intake::cancel(JobId Id, std::string Organisation) {
-  const TimePoint Deadline = Time.Now() + Settings.Timing.SubmitLimit;
+  const TimePoint Deadline = Time.Now() + Settings.Timing.SubmitTimeout;
   bool MayBeWritten = false;
   Error Last;
   while (Time.Now() < Deadline) {
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -65,7 +65,7 @@
 
 void SchedulerRunner::stop() {
   Stopped = true;
-  for (const MetricKind *Kind : {&metrics::Jobs, &metrics::Waiting, &metrics::Workers,
+  for (const MetricDescriptor *Kind : {&metrics::Jobs, &metrics::Waiting, &metrics::Workers,
                                  &metrics::ZonesEvacuated, &metrics::WorkerListAge})
     Deps.Metrics.set(*Kind, 0);
   Lanes.stop();
--- a/src/cell/scheduler_saves.cpp
+++ b/src/cell/scheduler_saves.cpp
@@ -153,7 +153,7 @@
       Self->SaveTimer.expires_at(TimePoint::max());
       co_await Self->SaveTimer.async_wait(AsTuple);
       if (!Self->Stopped)
-        co_await sleepFor(Self->Deps.Settings.Timing.Gather);
+        co_await sleepFor(Self->Deps.Settings.Timing.SaveDelay);
       continue;
     }
     ++Self->SavesInFlight;
@@ -164,7 +164,7 @@
 Awaitable<void> SchedulerRunner::flush(Milliseconds Time) {
   const TimePoint Limit = Deps.Time.Now() + Time;
   while (!Stopped && (!Cell.PendingSaves.empty() || SavesInFlight > 0) && Deps.Time.Now() < Limit)
-    co_await sleepFor(Deps.Settings.Timing.Gather / 2);
+    co_await sleepFor(Deps.Settings.Timing.SaveDelay / 2);
 }
 
 // After a write whose conditions do not hold: the leader's key is another's, or gone.
--- a/src/include/valveshelf/cell_process.h
+++ b/src/include/valveshelf/cell_process.h
@@ -22,8 +22,8 @@
 
 /// The platform as a cell process needs it.
 struct CellPlatform {
-  StorePath::Direct StoreCalls; ///< Straight to the store.
-  HttpRequest StoreProbe;       ///< A harmless read.
+  StoreRouter::DirectCall CallStore; ///< Straight to the store.
+  HttpRequest StoreProbe;            ///< A harmless read.
   std::function<KeyValueStore(StoreTransport)> OpenStore;
   WorkerLink Workers;
   AdviceLink Advice;
@@ -41,8 +41,8 @@
 class CellProcess {
 public:
   /// \p Meter has counted what the links send, and outlives the process.
-  CellProcess(Executor Where, CellSettings Settings, Clock Time, CellPlatform From, CellLink Peers,
-              const TrafficMeter &Meter);
+  CellProcess(Executor Where, CellSettings Settings, Clock Time, CellPlatform Platform,
+              CellLink Peers, const TrafficMeter &Meter);
   ~CellProcess();
   CellProcess(const CellProcess &) = delete;
   CellProcess &operator=(const CellProcess &) = delete;
