--- a/src/cell/cell_metrics.cpp
+++ b/src/cell/cell_metrics.cpp
@@ -136,15 +136,15 @@
   Inner->Gauges.at(Kind.Name)->Set(Value);
 }
 
-void CellMetrics::setTraffic(const TrafficBook &Book) {
+void CellMetrics::setTraffic(const TrafficStats &Book) {
   const auto Raise = [&](const MetricKind &Kind, const std::string &Case, uint64_t Total) {
     prometheus::Counter &Counter = Inner->Counters.at(Kind.Name)->Add({{"case", Case}});
     Counter.Increment(static_cast<double>(Total) - Counter.Value());
   };
   for (const auto &[Case, Counts] : Book.Kinds) {
     Raise(metrics::Messages, Case, Counts.Calls);
-    Raise(metrics::MessageBytes, Case, Counts.Sent + Counts.Received);
-    Raise(metrics::ConnectionsOpened, Case, Counts.Opened);
+    Raise(metrics::MessageBytes, Case, Counts.BytesSent + Counts.BytesReceived);
+    Raise(metrics::ConnectionsOpened, Case, Counts.ConnectionsOpened);
   }
 }
 
--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -420,10 +420,10 @@
     HttpResponse Answer = errorResponse({ErrorKind::NotFound, "there is no page " + Path});
     if (Path == "/metrics") {
       Metrics.set(metrics::LogLinesLeftOut, static_cast<double>(logLinesLeftOut()));
-      Metrics.setTraffic(Meter.book());
+      Metrics.setTraffic(Meter.stats());
       Answer = {HttpOk, {{"Content-Type", "text/plain; version=0.0.4"}}, Metrics.text()};
     } else if (Path == "/v1/load") {
-      Answer = jsonResponse(HttpOk, encodeTraffic(Meter.book()) + "\n");
+      Answer = jsonResponse(HttpOk, encodeTraffic(Meter.stats()) + "\n");
     } else if (Path == "/v1/burn") {
       Answer = co_await boost::asio::co_spawn(Where, burn(), boost::asio::use_awaitable);
     } else if (Path.starts_with(JobsPath) && Path.ends_with(ExplainPath)) {
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -434,7 +434,7 @@
   while (!Failure && !Out.is_done())
     Out.next(Failure, [&](boost::system::error_code &Code, const auto &Buffers) {
       const size_t Written = Used.Stream.socket().write_some(Buffers, Code);
-      Seen.Sent += Written;
+      Seen.BytesSent += Written;
       Out.consume(Written);
     });
   return Failure;
@@ -473,7 +473,7 @@
     auto [Code, Bytes] =
         co_await Used.Stream.socket().async_read_some(Used.Buffer.prepare(UsualAnswer), AsTuple);
     Used.Buffer.commit(Bytes);
-    Seen.Received += Bytes;
+    Seen.BytesReceived += Bytes;
     Failure = parseRead(Used, Into, Code);
   }
   if (!Into.is_done() && (!Failure || Used.TimedOut))
@@ -492,7 +492,7 @@
   const auto Note = [&](bool Answered) {
     Seen.Failed = Answered ? 0 : 1;
     if (Pool->Meter && !Options.Kind.empty())
-      Pool->Meter->note(Options.Kind, Seen);
+      Pool->Meter->record(Options.Kind, Seen);
   };
   if (!WasKept) {
     Result<ConnectionPtr> Made = co_await Pool->connect(To, Options.Timeout);
--- a/src/include/valveshelf/cell_metrics.h
+++ b/src/include/valveshelf/cell_metrics.h
@@ -43,7 +43,7 @@
   void observe(const MetricKind &Kind, Steady::duration Time);
   void set(const MetricKind &Kind, double Value);
   /// Brings the counters of messages up to the book.
-  void setTraffic(const TrafficBook &Book);
+  void setTraffic(const TrafficStats &Book);
   /// The text that is served.
   std::string text() const;
 
--- a/src/traffic/traffic.cpp
+++ b/src/traffic/traffic.cpp
@@ -12,47 +12,47 @@
 TrafficCounts &TrafficCounts::operator+=(const TrafficCounts &Other) {
   Calls += Other.Calls;
   Failed += Other.Failed;
-  Opened += Other.Opened;
-  Sent += Other.Sent;
-  Received += Other.Received;
+  ConnectionsOpened += Other.ConnectionsOpened;
+  BytesSent += Other.BytesSent;
+  BytesReceived += Other.BytesReceived;
   return *this;
 }
 
 TrafficMeter::TrafficMeter(Clock Time) : Time(std::move(Time)), Since(this->Time.Now()) {}
 
-void TrafficMeter::note(std::string_view Kind, const TrafficCounts &What) {
+void TrafficMeter::record(std::string_view Kind, const TrafficCounts &What) {
   std::lock_guard Lock(Mutex);
-  auto Found = Book.Kinds.find(Kind);
-  if (Found == Book.Kinds.end())
-    Found = Book.Kinds.emplace(std::string(Kind), TrafficCounts{}).first;
+  auto Found = Stats.Kinds.find(Kind);
+  if (Found == Stats.Kinds.end())
+    Found = Stats.Kinds.emplace(std::string(Kind), TrafficCounts{}).first;
   Found->second += What;
 }
 
-TrafficBook TrafficMeter::book() const {
+TrafficStats TrafficMeter::stats() const {
   std::lock_guard Lock(Mutex);
-  TrafficBook Now = Book;
-  Now.Time = std::chrono::duration_cast<Milliseconds>(Time.Now() - Since);
+  TrafficStats Now = Stats;
+  Now.Duration = std::chrono::duration_cast<Milliseconds>(Time.Now() - Since);
   return Now;
 }
 
-void mergeTraffic(TrafficBook &Book, const TrafficBook &Other) {
+void mergeTraffic(TrafficStats &Stats, const TrafficStats &Other) {
   for (const auto &[Kind, Counts] : Other.Kinds)
-    Book.Kinds[Kind] += Counts;
-  Book.Time = std::max(Book.Time, Other.Time);
+    Stats.Kinds[Kind] += Counts;
+  Stats.Duration = std::max(Stats.Duration, Other.Duration);
 }
 
-std::string encodeTraffic(const TrafficBook &Book) {
+std::string encodeTraffic(const TrafficStats &Stats) {
   json::object Kinds;
-  for (const auto &[Kind, Of] : Book.Kinds)
+  for (const auto &[Kind, Of] : Stats.Kinds)
     Kinds[Kind] = json::object{{"calls", Of.Calls},
                                {"failed", Of.Failed},
-                               {"connections_opened", Of.Opened},
-                               {"bytes_sent", Of.Sent},
-                               {"bytes_received", Of.Received}};
-  return json::serialize(json::object{{"ms", Book.Time.count()}, {"kinds", std::move(Kinds)}});
+                               {"connections_opened", Of.ConnectionsOpened},
+                               {"bytes_sent", Of.BytesSent},
+                               {"bytes_received", Of.BytesReceived}};
+  return json::serialize(json::object{{"ms", Stats.Duration.count()}, {"kinds", std::move(Kinds)}});
 }
 
-Result<TrafficBook> decodeTraffic(std::string_view Text) {
+Result<TrafficStats> decodeTraffic(std::string_view Text) {
   const auto Wrong = [](const std::string &Field) {
     return Error{ErrorKind::BadRequest, "traffic: " + Field + " is missing or no count"};
   };
@@ -66,22 +66,22 @@
   const json::value *Kinds = Root.as_object().if_contains("kinds");
   if (!Kinds || !Kinds->is_object())
     return Error{ErrorKind::BadRequest, "traffic: kinds is missing or no object"};
-  TrafficBook Book;
-  Book.Time = Milliseconds(Time->as_int64());
+  TrafficStats Stats;
+  Stats.Duration = Milliseconds(Time->as_int64());
   for (const auto &[Kind, Row] : Kinds->as_object()) {
-    TrafficCounts &Of = Book.Kinds[std::string(Kind)];
+    TrafficCounts &Of = Stats.Kinds[std::string(Kind)];
     for (const auto &[Field, Into] : {std::pair("calls", &Of.Calls),
                                       {"failed", &Of.Failed},
-                                      {"connections_opened", &Of.Opened},
-                                      {"bytes_sent", &Of.Sent},
-                                      {"bytes_received", &Of.Received}}) {
+                                      {"connections_opened", &Of.ConnectionsOpened},
+                                      {"bytes_sent", &Of.BytesSent},
+                                      {"bytes_received", &Of.BytesReceived}}) {
       const json::value *Count = Row.is_object() ? Row.as_object().if_contains(Field) : nullptr;
       if (!Count || !Count->is_int64() || Count->as_int64() < 0)
         return Wrong(std::string(Kind) + "." + Field);
       *Into = static_cast<uint64_t>(Count->as_int64());
     }
   }
-  return Book;
+  return Stats;
 }
 
 } // namespace valveshelf
--- a/src/valveshelf/report_command.cpp
+++ b/src/valveshelf/report_command.cpp
@@ -60,7 +60,7 @@
 }
 
 int reportLoad(const std::vector<std::string> &Addresses, bool AsJson, const std::string &Page) {
-  std::vector<TrafficOf> Cell;
+  std::vector<ProcessTraffic> Cell;
   for (const std::string &Address : Addresses)
     if (auto Read = readBook(Address, "/v1/load", decodeTraffic))
       Cell.push_back({Address, std::move(*Read)});
