--- a/src/cell/config_watch.cpp
+++ b/src/cell/config_watch.cpp
@@ -54,7 +54,7 @@
 }
 
 void ConfigWatch::takeZone(const KeyChange &Change) {
-  if (!Change.Item.Key.starts_with(Keys.Evacuations) || Change.Item.Revision < Evacuated.AsOf)
+  if (!Change.Item.Key.starts_with(Keys.Evacuations) || Change.Item.Revision < Evacuated.Revision)
     return;
   EvacuatedZones Now{Evacuated.Names, Change.Item.Revision};
   const std::string Zone = Change.Item.Key.substr(Keys.Evacuations.size());
@@ -66,10 +66,10 @@
 }
 
 void ConfigWatch::takeZones(EvacuatedZones Now) {
-  if (Now.AsOf < Evacuated.AsOf)
+  if (Now.Revision < Evacuated.Revision)
     return; // answers may overtake each other
   const EvacuatedZones Before = std::exchange(Evacuated, std::move(Now));
-  const std::string Revision = std::to_string(Evacuated.AsOf);
+  const std::string Revision = std::to_string(Evacuated.Revision);
   for (const std::string &Zone : Evacuated.Names)
     if (!Before.Names.count(Zone))
       logEvent(events::EvacuationBegun, {{"zone", Zone}, {"revision", Revision}});
--- a/src/cell/front_door.cpp
+++ b/src/cell/front_door.cpp
@@ -121,8 +121,8 @@
   Spec.Service = To.Service;
   Spec.Priority = To.Priority;
   Spec.MaxAttempts = To.MaxAttempts;
-  Spec.Extension = To.Extension;
-  Spec.Target = To.Target;
+  Spec.CriticalPathFactor = To.CriticalPathFactor;
+  Spec.ObjectiveSlack = To.ObjectiveSlack;
   Spec.Advice = To.Advice;
   Spec.AcceptedAt = Time.Wall();
   const TimePoint Came = Time.Now();
--- a/src/cell/scheduler_fleet.cpp
+++ b/src/cell/scheduler_fleet.cpp
@@ -35,9 +35,10 @@
   const auto Known = Cell.Workers.find(Id);
   const bool WasLeaving = Known != Cell.Workers.end() && Known->second.Info.Draining;
   if (value(Read).Draining && !WasLeaving)
-    logEvent(events::WorkerLeaving, {{"worker", Id},
-                                     {"time_left_ms", std::to_string(value(Read).TimeLeft.count())},
-                                     {"revision", std::to_string(Item.Revision)}});
+    logEvent(events::WorkerLeaving,
+             {{"worker", Id},
+              {"time_left_ms", std::to_string(value(Read).DrainTimeLeft.count())},
+              {"revision", std::to_string(Item.Revision)}});
   workerListed(Cell, value(Read), Now);
 }
 
--- a/src/cell/scheduler_runner_test.cpp
+++ b/src/cell/scheduler_runner_test.cpp
@@ -27,7 +27,7 @@
   void end(uint32_t Index) {
     for (size_t I = 0; I < Active.size(); ++I)
       if (Active[I].Run.Task.Index == Index) {
-        Ended.push_back({Ended.size() + 1, Active[I].Run, RunEnd::Done, ""});
+        Ended.push_back({Ended.size() + 1, Active[I].Run, RunOutcome::Done, ""});
         Active.erase(Active.begin() + static_cast<ptrdiff_t>(I));
         return;
       }
@@ -136,7 +136,7 @@
     Spec.Service = "pool";
     Spec.MaxAttempts = 3;
     Spec.AcceptedAt = Clock{}.Wall();
-    Spec.Target = 60s;
+    Spec.ObjectiveSlack = 60s;
     StepSpec Step;
     Step.Count = Tasks;
     Step.Need = {1000, 100, 0};
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -514,7 +514,7 @@
 /// Ends the job, unless it has ended: what runs of it is stopped, and its end is saved.
 void endJob(CellState &Cell, Job &Of, JobPhase Phase, const char *Why, TimePoint Now, Effects &Out);
 /// Notes the end of a run in the task and the job.
-void runEnded(CellState &Cell, const RunKey &Run, RunEnd How, const std::string &Checkpoint,
+void runEnded(CellState &Cell, const RunKey &Run, RunOutcome How, const std::string &Checkpoint,
               Worker *On, TimePoint Now, Effects &Out);
 
 } // namespace valveshelf::sched
--- a/src/include/valveshelf/workload.h
+++ b/src/include/valveshelf/workload.h
@@ -63,9 +63,10 @@
 
 /// A service outside valveshelf that says which workers may run the steps of a queue.
 struct AdvicePolicy {
-  std::chrono::duration<double, std::milli> Decide{0};     ///< A call takes this long,
-  std::chrono::duration<double, std::milli> EachWorker{0}; ///< and this for each worker named.
-  Milliseconds Valid{0};                                   ///< How long a ticket holds.
+  std::chrono::duration<double, std::milli> BaseLatency{0}; ///< A call takes this long,
+  std::chrono::duration<double, std::milli> LatencyPerWorker{
+      0};                         ///< and this for each worker named.
+  Milliseconds TicketLifetime{0}; ///< How long a ticket holds.
   friend bool operator==(const AdvicePolicy &, const AdvicePolicy &) = default;
 };
 
@@ -74,12 +75,13 @@
   std::string Name;
   std::string Host;
   std::string PathPrefix;
-  std::string Service;   ///< The pool of workers that runs its tasks.
-  int Priority = 0;      ///< 0 goes first.
-  int MaxAttempts = 1;   ///< Failed runs of a task before its job fails.
-  double Extension = 1;  ///< Part of the objective: a multiple of the longest chain of work.
-  Milliseconds Target{}; ///< Part of the objective: added to it.
-  bool Public = false;   ///< Its callers need no key.
+  std::string Service; ///< The pool of workers that runs its tasks.
+  int Priority = 0;    ///< 0 goes first.
+  int MaxAttempts = 1; ///< Failed runs of a task before its job fails.
+  double CriticalPathFactor =
+      1; ///< Part of the objective: a multiple of the longest chain of work.
+  Milliseconds ObjectiveSlack{}; ///< Part of the objective: added to it.
+  bool Public = false;           ///< Its callers need no key.
   std::optional<AdvicePolicy> Advice;
 };
 
@@ -94,7 +96,7 @@
 /// A pool of workers in the operators' configuration.
 struct Service {
   std::string Name;
-  bool GuardsCapacity = false; ///< Its workers refuse what does not fit.
+  bool EnforcesCapacity = false; ///< Its workers refuse what does not fit.
 };
 
 /// The operators' configuration, whole.
@@ -122,21 +124,21 @@
 /// A step as its caller asked for it.
 struct StepSpec {
   uint32_t Count = 1;
-  Resources Need;              ///< Of each task.
-  Milliseconds Estimate{0};    ///< The caller's guess of a task's run time; 0: none.
-  std::vector<uint32_t> After; ///< Earlier steps that must be done first.
-  bool Checkpoints = false;    ///< Its tasks save their progress.
-  bool Gang = false;           ///< Its tasks can work only together.
-  bool SameRack = false;       ///< Slow unless all tasks are in one rack.
-  std::string RequiredLabel;   ///< The worker must have it; empty: any.
-  std::string NearRack;        ///< Slow in other racks; empty: none.
-  uint32_t MostPerWorker = 0;  ///< Tasks of the step that one worker may hold; 0: no limit.
-  bool Speculative = false;    ///< Copies may run side by side.
-  bool Lasting = false;        ///< Runs until the job is cancelled.
-  bool Fills = false;          ///< Takes no processor room, only what others leave.
-  std::string Image;           ///< Tasks of one image behave alike.
-  Milliseconds TargetTail{0};  ///< Objective of the users it serves; 0: none.
-  uint32_t MayMiss = 0;        ///< Lasting tasks that may be away at a time by our doing.
+  Resources Need;                    ///< Of each task.
+  Milliseconds Estimate{0};          ///< The caller's guess of a task's run time; 0: none.
+  std::vector<uint32_t> DependsOn;   ///< Earlier steps that must be done first.
+  bool Checkpointable = false;       ///< Its tasks save their progress.
+  bool Gang = false;                 ///< Its tasks can work only together.
+  bool SameRack = false;             ///< Slow unless all tasks are in one rack.
+  std::string RequiredLabel;         ///< The worker must have it; empty: any.
+  std::string PreferredRack;         ///< Slow in other racks; empty: none.
+  uint32_t MaxPerWorker = 0;         ///< Tasks of the step that one worker may hold; 0: no limit.
+  bool Speculative = false;          ///< Copies may run side by side.
+  bool LongRunning = false;          ///< Runs until the job is cancelled.
+  bool BestEffort = false;           ///< Takes no processor room, only what others leave.
+  std::string Image;                 ///< Tasks of one image behave alike.
+  Milliseconds TailLatencyTarget{0}; ///< Objective of the users it serves; 0: none.
+  uint32_t MaxUnavailable = 0;       ///< Lasting tasks that may be away at a time by our doing.
 };
 
 /// A job as it was accepted, with the policy of its queue at that time. Never changes.
@@ -147,8 +149,8 @@
   std::string Organisation; ///< Whose key it came with; empty: none was needed.
   int Priority = 0;
   int MaxAttempts = 1;
-  double Extension = 1;
-  Milliseconds Target{0};
+  double CriticalPathFactor = 1;
+  Milliseconds ObjectiveSlack{0};
   std::optional<AdvicePolicy> Advice;
   std::string Payload; ///< Passed on to the workers as it is.
   std::vector<StepSpec> Steps;
@@ -162,13 +164,13 @@
 enum class JobPhase { Live, Completed, Failed, Cancelled };
 
 /// How a run ended, as its worker lists it.
-enum class RunEnd {
+enum class RunOutcome {
   Done,
-  Failed,  ///< By its own fault or its worker's.
-  Stopped, ///< By our order.
-  Lapsed,  ///< The worker's lease ran out.
-  Broken,  ///< Another member of its gang ended.
-  Alone,   ///< The rest of its gang did not come in time.
+  Failed,       ///< By its own fault or its worker's.
+  Stopped,      ///< By our order.
+  LeaseExpired, ///< The worker's lease ran out.
+  GangBroken,   ///< Another member of its gang ended.
+  GangTimedOut, ///< The rest of its gang did not come in time.
 };
 
 /// One life of a worker, as the platform lists it. A worker that restarts has a new id.
@@ -181,16 +183,16 @@
   std::string Rack;
   std::vector<std::string> Labels;
   Resources Capacity;
-  bool Draining = false;    ///< It leaves soon and takes nothing new,
-  Milliseconds TimeLeft{0}; ///< though not before this time from when it was read.
-  Milliseconds SlowFor{0};  ///< It has begun its life and is slow for so long from then.
+  bool Draining = false;          ///< It leaves soon and takes nothing new,
+  Milliseconds DrainTimeLeft{0};  ///< though not before this time from when it was read.
+  Milliseconds WarmUpTimeLeft{0}; ///< It has begun its life and is slow for so long from then.
 };
 
 /// The availability zones that operators have asked to be left empty, as the store had them at a
 /// revision.
 struct EvacuatedZones {
   std::set<std::string> Names;
-  uint64_t AsOf = 0; ///< The store's revision; 0: nothing is known.
+  uint64_t Revision = 0; ///< The store's revision; 0: nothing is known.
 };
 
 /// A run that a worker holds.
@@ -204,7 +206,7 @@
 struct EndedRun {
   uint64_t Number = 0; ///< Rises by one with each end of this life of the worker.
   RunKey Run;
-  RunEnd How = RunEnd::Stopped;
+  RunOutcome Outcome = RunOutcome::Stopped;
   std::string Checkpoint;
 };
 
@@ -218,16 +220,16 @@
 /// What became of an order to start a run.
 enum class StartResult {
   Started,
-  RefusedFence,  ///< A newer scheduler has spoken to the worker.
-  RefusedOld,    ///< The worker has stopped or ended that run or a later one.
-  RefusedLate,   ///< The order came after its own time.
-  RefusedRoom,   ///< The worker guards its capacity and has no room.
-  RefusedTicket, ///< The ticket does not hold (any more).
-  RefusedBusy,   ///< The worker is unhealthy and did nothing.
-  RefusedWrong,  ///< The worker can't read the order.
-  OtherLife,     ///< Another life of the worker answered.
-  NotSent,       ///< No connection; surely nothing was started.
-  Unknown,       ///< No answer; it may have started or may still start.
+  RefusedFence,      ///< A newer scheduler has spoken to the worker.
+  RefusedStaleRun,   ///< The worker has stopped or ended that run or a later one.
+  RefusedExpired,    ///< The order came after its own time.
+  RefusedNoCapacity, ///< The worker guards its capacity and has no room.
+  RefusedTicket,     ///< The ticket does not hold (any more).
+  RefusedUnhealthy,  ///< The worker is unhealthy and did nothing.
+  RefusedMalformed,  ///< The worker can't read the order.
+  OtherIncarnation,  ///< Another life of the worker answered.
+  NotSent,           ///< No connection; surely nothing was started.
+  Unknown,           ///< No answer; it may have started or may still start.
 };
 
 } // namespace valveshelf::sched
--- a/src/records/cell_records.cpp
+++ b/src/records/cell_records.cpp
@@ -29,20 +29,20 @@
   To.set_count(From.Count);
   writeSize(From.Need, *To.mutable_need());
   To.set_estimate_ms(From.Estimate.count());
-  for (const uint32_t Earlier : From.After)
+  for (const uint32_t Earlier : From.DependsOn)
     To.add_after(Earlier);
-  To.set_checkpoints(From.Checkpoints);
+  To.set_checkpoints(From.Checkpointable);
   To.set_gang(From.Gang);
   To.set_same_rack(From.SameRack);
   To.set_required_label(From.RequiredLabel);
-  To.set_near_rack(From.NearRack);
-  To.set_most_per_worker(From.MostPerWorker);
+  To.set_near_rack(From.PreferredRack);
+  To.set_most_per_worker(From.MaxPerWorker);
   To.set_speculative(From.Speculative);
-  To.set_lasting(From.Lasting);
-  To.set_fills(From.Fills);
+  To.set_lasting(From.LongRunning);
+  To.set_fills(From.BestEffort);
   To.set_image(From.Image);
-  To.set_target_tail_ms(From.TargetTail.count());
-  To.set_may_miss(From.MayMiss);
+  To.set_target_tail_ms(From.TailLatencyTarget.count());
+  To.set_may_miss(From.MaxUnavailable);
 }
 
 StepSpec readStep(const cell::StepRecord &From) {
@@ -50,19 +50,19 @@
   Step.Count = From.count();
   Step.Need = readSize(From.need());
   Step.Estimate = Milliseconds(From.estimate_ms());
-  Step.After.assign(From.after().begin(), From.after().end());
-  Step.Checkpoints = From.checkpoints();
+  Step.DependsOn.assign(From.after().begin(), From.after().end());
+  Step.Checkpointable = From.checkpoints();
   Step.Gang = From.gang();
   Step.SameRack = From.same_rack();
   Step.RequiredLabel = From.required_label();
-  Step.NearRack = From.near_rack();
-  Step.MostPerWorker = From.most_per_worker();
+  Step.PreferredRack = From.near_rack();
+  Step.MaxPerWorker = From.most_per_worker();
   Step.Speculative = From.speculative();
-  Step.Lasting = From.lasting();
-  Step.Fills = From.fills();
+  Step.LongRunning = From.lasting();
+  Step.BestEffort = From.fills();
   Step.Image = From.image();
-  Step.TargetTail = Milliseconds(From.target_tail_ms());
-  Step.MayMiss = From.may_miss();
+  Step.TailLatencyTarget = Milliseconds(From.target_tail_ms());
+  Step.MaxUnavailable = From.may_miss();
   return Step;
 }
 
@@ -167,12 +167,12 @@
   Record.set_service(Spec.Service);
   Record.set_priority(Spec.Priority);
   Record.set_max_attempts(Spec.MaxAttempts);
-  Record.set_extension(Spec.Extension);
-  Record.set_target_ms(Spec.Target.count());
+  Record.set_extension(Spec.CriticalPathFactor);
+  Record.set_target_ms(Spec.ObjectiveSlack.count());
   if (Spec.Advice) {
-    Record.mutable_advice()->set_decide_ms(Spec.Advice->Decide.count());
-    Record.mutable_advice()->set_each_worker_ms(Spec.Advice->EachWorker.count());
-    Record.mutable_advice()->set_valid_ms(Spec.Advice->Valid.count());
+    Record.mutable_advice()->set_decide_ms(Spec.Advice->BaseLatency.count());
+    Record.mutable_advice()->set_each_worker_ms(Spec.Advice->LatencyPerWorker.count());
+    Record.mutable_advice()->set_valid_ms(Spec.Advice->TicketLifetime.count());
   }
   Record.set_payload(Spec.Payload);
   for (const StepSpec &Step : Spec.Steps)
@@ -206,8 +206,8 @@
   Spec.Service = Record.service();
   Spec.Priority = Record.priority();
   Spec.MaxAttempts = Record.max_attempts();
-  Spec.Extension = Record.extension();
-  Spec.Target = Milliseconds(Record.target_ms());
+  Spec.CriticalPathFactor = Record.extension();
+  Spec.ObjectiveSlack = Milliseconds(Record.target_ms());
   if (Record.has_advice()) {
     using Fine = std::chrono::duration<double, std::milli>;
     Spec.Advice =
--- a/src/scheduler/advice.cpp
+++ b/src/scheduler/advice.cpp
@@ -137,7 +137,8 @@
 
 namespace {
 Milliseconds questionTime(const AdvicePolicy &Policy, size_t Workers) {
-  return std::chrono::duration_cast<Milliseconds>(Policy.Decide + Policy.EachWorker * Workers);
+  return std::chrono::duration_cast<Milliseconds>(Policy.BaseLatency +
+                                                  Policy.LatencyPerWorker * Workers);
 }
 } // namespace
 
@@ -179,7 +180,7 @@
 
 int64_t mostSeats(const StepState &Step) {
   const int64_t Count = Step.Spec->Count;
-  return Step.Spec->MostPerWorker > 0 ? std::min<int64_t>(Count, Step.Spec->MostPerWorker) : Count;
+  return Step.Spec->MaxPerWorker > 0 ? std::min<int64_t>(Count, Step.Spec->MaxPerWorker) : Count;
 }
 
 // In the room that is free.
@@ -215,9 +216,9 @@
 
 // Workers that cost a question little beside the time that it takes anyway.
 size_t cheapToName(const AdvicePolicy &Policy) {
-  if (Policy.EachWorker.count() <= 0)
+  if (Policy.LatencyPerWorker.count() <= 0)
     return MaxNamed;
-  const double Cheap = Policy.Decide.count() * CheapPart / Policy.EachWorker.count();
+  const double Cheap = Policy.BaseLatency.count() * CheapPart / Policy.LatencyPerWorker.count();
   return std::clamp<size_t>(static_cast<size_t>(Cheap), NamedAtLeast, MaxNamed);
 }
 
@@ -336,7 +337,7 @@
   std::sort(Usable.begin(), Usable.end());
   Usable.resize(std::min(Usable.size(), namedFor(Step)));
   const std::chrono::duration<double, std::milli> Time =
-      Of.Spec->Advice->Decide + Of.Spec->Advice->EachWorker * Usable.size();
+      Of.Spec->Advice->BaseLatency + Of.Spec->Advice->LatencyPerWorker * Usable.size();
   const auto Needed = std::chrono::duration_cast<Milliseconds>(Time) + RenewalSlack;
   const bool Expires = std::any_of(Usable.begin(), Usable.end(), [&](const auto &Entry) {
     return Entry.second->ValidUntil < In.Now + Needed;
--- a/src/scheduler/capacity_test.cpp
+++ b/src/scheduler/capacity_test.cpp
@@ -11,7 +11,7 @@
 // Waiting steps are looked at again after this time.
 constexpr Milliseconds NextLook{50};
 // Nothing of these tests is late.
-constexpr double Extension = 100;
+constexpr double CriticalPathFactor = 100;
 
 // One worker of ten cores.
 struct OneWorker : PlacementScene {
@@ -21,10 +21,10 @@
 
 TEST(Capacity, WhatHasShrunkTakesNothingNewUntilItHasRoomAgain) {
   OneWorker Given;
-  Given.submit(0, tasks(3, 2000, 10s), Extension);
+  Given.submit(0, tasks(3, 2000, 10s), CriticalPathFactor);
   ASSERT_EQ(Given.pass(NextLook).Starts.size(), 3u);
   Given.say(7000);
-  Given.submit(0, tasks(1, 2000, 10s), Extension);
+  Given.submit(0, tasks(1, 2000, 10s), CriticalPathFactor);
   EXPECT_TRUE(Given.pass(NextLook).Starts.empty());
   Given.say(5000); // less than what runs there, which runs on
   Effects Out = Given.pass(NextLook);
@@ -36,10 +36,10 @@
 
 TEST(Capacity, WhatIsBeingStoppedCountsInAShrunkenOne) {
   OneWorker Given;
-  Given.submit(2, tasks(2, 4000, 10s, true), Extension);
+  Given.submit(2, tasks(2, 4000, 10s, true), CriticalPathFactor);
   ASSERT_EQ(Given.pass(NextLook).Starts.size(), 2u);
   Given.say(8000);
-  Given.submit(0, tasks(1, 4000, 10s), Extension);
+  Given.submit(0, tasks(1, 4000, 10s), CriticalPathFactor);
   const Effects Out = Given.pass(NextLook);
   EXPECT_EQ(Out.Stops.size(), 1u);
   EXPECT_TRUE(Out.Starts.empty());
@@ -47,7 +47,7 @@
   stopAnswered(Given.Cell, "w", Out.Stops.at(0).Run, true, Given.Now, Then);
   EXPECT_TRUE(Given.pass(NextLook).Starts.empty()) << "it may be there still";
   WorkerReport Ended;
-  Ended.Ended.push_back({1, Out.Stops[0].Run, RunEnd::Stopped, ""});
+  Ended.Ended.push_back({1, Out.Stops[0].Run, RunOutcome::Stopped, ""});
   workerReported(Given.Cell, "w", Ended, Given.Now, Given.Now, Then);
   EXPECT_EQ(Given.pass(NextLook).Starts.size(), 1u);
 }
@@ -59,7 +59,7 @@
     Given.Cell.AdviceLanes = 2;
     StepSpec Step = tasks(2, 4000, 10s);
     Step.Gang = Gang;
-    Given.submit(1, Step, Extension, true);
+    Given.submit(1, Step, CriticalPathFactor, true);
     Effects Out = Given.pass(NextLook);
     ASSERT_EQ(Out.Asks.size(), 1u);
     adviceAnswered(Given.Cell, Out.Asks[0].Step, {"w"}, {{"w", "ticket"}}, 2s, Given.Now);
@@ -82,7 +82,7 @@
 TEST(Capacity, ASchedulerThatTakesOverGoesByWhatTheWorkerSays) {
   for (const bool RecordFirst : {false, true}) {
     OneWorker Given;
-    const JobId Old = Given.submit(1, tasks(1, 4000, 10s), Extension);
+    const JobId Old = Given.submit(1, tasks(1, 4000, 10s), CriticalPathFactor);
     const Effects Before = Given.pass(NextLook);
     ASSERT_EQ(Before.Starts.size(), 1u);
     const WorkerInfo Recorded = Given.Cell.Workers.at("w").Info;
@@ -100,7 +100,7 @@
     WorkerReport Report;
     Report.Active.push_back({Before.Starts[0].Run, "", 10});
     workerReported(Given.Cell, "w", Report, Given.Now, Given.Now, Out);
-    Given.submit(0, tasks(1, 2000, 10s), Extension);
+    Given.submit(0, tasks(1, 2000, 10s), CriticalPathFactor);
     EXPECT_TRUE(Given.pass(NextLook).Starts.empty()) << "record first: " << RecordFirst;
     Given.say(6000);
     EXPECT_EQ(Given.pass(NextLook).Starts.size(), 1u) << "record first: " << RecordFirst;
--- a/src/scheduler/crash_count_test.cpp
+++ b/src/scheduler/crash_count_test.cpp
@@ -140,7 +140,8 @@
   Given.pass(50ms);
   ASSERT_EQ(Given.startsOf(Id), 1u);
   Effects Out;
-  startAnswered(Given.Cell, "w0", Given.Started[0].Run, StartResult::OtherLife, Given.Now, Out);
+  startAnswered(Given.Cell, "w0", Given.Started[0].Run, StartResult::OtherIncarnation, Given.Now,
+                Out);
   EXPECT_EQ(Given.Cell.Workers.count("w0"), 0u);
   EXPECT_EQ(Given.taskOf(Id).Crashes, 0u);
 }
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -49,7 +49,7 @@
   const TaskState *Task = findTask(Cell, Key);
   Job *Of = Task ? &Cell.Jobs.at(Key.Step.Job) : nullptr;
   if (!Of || Task->Done || Of->Phase != JobPhase::Live ||
-      !crashesWorkers(Cell.Limits, *Task, findStep(Cell, Key.Step)->Spec->Lasting))
+      !crashesWorkers(Cell.Limits, *Task, findStep(Cell, Key.Step)->Spec->LongRunning))
     return;
   Out.TasksGivenUp.push_back({Key, Task->Crashes, doubtsOf(*Task), Task->Losses});
   endJob(Cell, *Of, JobPhase::Failed, "a task of it crashes its workers", Now, Out);
@@ -152,7 +152,7 @@
   TaskState *Task = findTask(Cell, End.Run.Task);
   if (Task && Task->Run == End.Run.Run)
     settleTrial(Cell, End.Run.Task, Out);
-  if (Task && (End.How == RunEnd::Done || End.How == RunEnd::Failed))
+  if (Task && (End.Outcome == RunOutcome::Done || End.Outcome == RunOutcome::Failed))
     Task->Losses = 0;
 }
 
@@ -195,7 +195,7 @@
       countLoss(Cell, On, Run, How, Lost.size() == 1, Now, Out);
     noteLoss(Cell, On, Run, How, Out);
     unbook(Cell, On, Run);
-    runEnded(Cell, Run, RunEnd::Lapsed, "", &On, Now, Out);
+    runEnded(Cell, Run, RunOutcome::LeaseExpired, "", &On, Now, Out);
   }
   if (How == LifeEnd::Lapsed)
     return; // it is listed: its link is cut rather
--- a/src/scheduler/crashes_test.cpp
+++ b/src/scheduler/crashes_test.cpp
@@ -322,7 +322,7 @@
 TEST(Crashes, ALastingTaskIsNotGivenUpForCrashesFarApart) {
   CrashScene Given(12);
   StepSpec Lasts = tasks(1, 4000, 0ms);
-  Lasts.Lasting = true;
+  Lasts.LongRunning = true;
   const JobId Id = Given.submit(Lasts);
   for (int I = 0; I < 8; ++I) {
     ASSERT_TRUE(Given.passUntilRuns(Id));
--- a/src/scheduler/evacuation.cpp
+++ b/src/scheduler/evacuation.cpp
@@ -5,7 +5,7 @@
 namespace valveshelf::sched {
 
 bool evacuate(CellState &Cell, EvacuatedZones Zones) {
-  if (Zones.AsOf < Cell.Evacuated.AsOf)
+  if (Zones.Revision < Cell.Evacuated.Revision)
     return false;
   const bool Changed = Zones.Names != Cell.Evacuated.Names;
   Cell.Evacuated = std::move(Zones);
--- a/src/scheduler/evacuation_test.cpp
+++ b/src/scheduler/evacuation_test.cpp
@@ -122,7 +122,7 @@
 
 TEST(Evacuation, ALastingTaskHasItsNewPlaceBeforeItIsStopped) {
   StepSpec Lasting = tasks(1, 20000, 500ms);
-  Lasting.Lasting = true;
+  Lasting.LongRunning = true;
   WorkInZone Given(Lasting);
   const Effects Moved = Given.pass();
   ASSERT_EQ(Moved.Stops.size(), 1u);
@@ -150,7 +150,7 @@
 TEST(SlowStarts, AWorkerThatIsStillSlowIsTakenLast) {
   TwoZones Given;
   WorkerInfo Fresh = workerIn("fresh", "a");
-  Fresh.SlowFor = 3s;
+  Fresh.WarmUpTimeLeft = 3s;
   workerListed(Given.Cell, Fresh, Given.Now);
   Given.Cell.Workers.at("fresh").Saved = true;
   Effects Out;
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -20,8 +20,8 @@
 std::vector<GangSeat> gangSeats(Pass &In, const Job &Of, const StepState &Step, bool Yields) {
   std::vector<GangSeat> Found;
   int64_t Most = Step.Spec->Count;
-  if (Step.Spec->MostPerWorker > 0)
-    Most = std::min<int64_t>(Most, Step.Spec->MostPerWorker);
+  if (Step.Spec->MaxPerWorker > 0)
+    Most = std::min<int64_t>(Most, Step.Spec->MaxPerWorker);
   const Resources Need = needOf(Step);
   std::set<const Worker *> Avoided;
   for (const TaskState &Task : Step.Tasks)
@@ -53,7 +53,7 @@
   std::map<std::string, std::vector<GangSeat>> Racks;
   for (const GangSeat &Seat : Seats)
     Racks[Seat.On->Info.Rack].push_back(Seat);
-  if (const auto Near = Racks.find(Step.Spec->NearRack);
+  if (const auto Near = Racks.find(Step.Spec->PreferredRack);
       Near != Racks.end() && sumSeats(Near->second) >= Step.Spec->Count)
     return Near->second;
   if (Step.Spec->SameRack)
--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -13,7 +13,7 @@
   Milliseconds Longest{0};
   for (size_t I = 0; I < Spec.Steps.size(); ++I) {
     Milliseconds Before{0};
-    for (const uint32_t Earlier : Spec.Steps[I].After)
+    for (const uint32_t Earlier : Spec.Steps[I].DependsOn)
       Before = std::max(Before, Through[Earlier]);
     Through[I] = Before + Spec.Steps[I].Estimate;
     Longest = std::max(Longest, Through[I]);
@@ -23,12 +23,13 @@
 
 // By then the job, or a round that is due at \p Due, has to be complete.
 TimePoint objectiveOf(const CellState &Cell, const JobSpec &Spec, WallTime Due) {
-  const auto Chain = std::chrono::duration_cast<Milliseconds>(longestChain(Spec) * Spec.Extension);
-  return Cell.WallAt + (Due - Cell.Wall) + Chain + Spec.Target;
+  const auto Chain =
+      std::chrono::duration_cast<Milliseconds>(longestChain(Spec) * Spec.CriticalPathFactor);
+  return Cell.WallAt + (Due - Cell.Wall) + Chain + Spec.ObjectiveSlack;
 }
 
 bool isRunnable(const RoundState &Round, const StepState &Step) {
-  return std::all_of(Step.Spec->After.begin(), Step.Spec->After.end(),
+  return std::all_of(Step.Spec->DependsOn.begin(), Step.Spec->DependsOn.end(),
                      [&](uint32_t Earlier) { return Round.Steps[Earlier].Open == 0; });
 }
 
@@ -119,7 +120,7 @@
   Out.Failures.push_back(
       {Run, On ? On->Info.Id : std::string(), Failures.size(), Of.Spec->MaxAttempts});
   needSave(Cell, Of, Out);
-  if (!Step.Spec->Lasting && Failures.size() >= static_cast<size_t>(Of.Spec->MaxAttempts))
+  if (!Step.Spec->LongRunning && Failures.size() >= static_cast<size_t>(Of.Spec->MaxAttempts))
     endJob(Cell, Of, JobPhase::Failed, "a task failed as often as allowed", Now, Out);
 }
 
@@ -157,7 +158,7 @@
 }
 
 bool isLate(const Job &Of, const StepState &Step, TimePoint Now) {
-  return !Step.Spec->Lasting && Now + Step.Spec->Estimate / 2 > Of.Objective;
+  return !Step.Spec->LongRunning && Now + Step.Spec->Estimate / 2 > Of.Objective;
 }
 
 void queueStep(CellState &Cell, Job &Of, StepState &Step, TimePoint Now) {
@@ -367,7 +368,7 @@
       }));
 }
 
-void runEnded(CellState &Cell, const RunKey &Run, RunEnd How, const std::string &Checkpoint,
+void runEnded(CellState &Cell, const RunKey &Run, RunOutcome How, const std::string &Checkpoint,
               Worker *On, TimePoint Now, Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (!Step || Run.Task.Index >= Step->Tasks.size())
@@ -376,12 +377,12 @@
   Of.Begun = true;
   if (Of.Phase != JobPhase::Live)
     return;
-  if (How == RunEnd::Done)
+  if (How == RunOutcome::Done)
     return taskDone(Cell, Of, *Step, Run, Now, Out);
   if (Step->Tasks[Run.Task.Index].Done)
     return;
   keepCheckpoint(*Step, Run.Task.Index, Checkpoint);
-  if (How == RunEnd::Failed)
+  if (How == RunOutcome::Failed)
     taskFailed(Cell, Of, *Step, Run, On, Now, Out);
   else if (!Checkpoint.empty())
     needSave(Cell, Of, Out); // a successor goes on from the checkpoint
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -33,9 +33,9 @@
   const StepSpec &Spec = *Step.Spec;
   if (What.Phase != AttemptPhase::Running || Spec.Gang)
     return false;
-  if (Spec.Lasting)
-    return Spec.MayMiss == 0 || notAtWork(Step) < Spec.MayMiss;
-  if (!Spec.Checkpoints)
+  if (Spec.LongRunning)
+    return Spec.MaxUnavailable == 0 || notAtWork(Step) < Spec.MaxUnavailable;
+  if (!Spec.Checkpointable)
     return false;
   const Milliseconds Left = What.Estimate * (100 - What.Percent) / 100;
   // Nobody says when a zone that is emptied goes: what would take longer to move than to end stays.
--- a/src/scheduler/organisations_test.cpp
+++ b/src/scheduler/organisations_test.cpp
@@ -61,7 +61,7 @@
     Spec->Service = Service;
     Spec->Priority = 1;
     Spec->MaxAttempts = 3;
-    Spec->Extension = 10;
+    Spec->CriticalPathFactor = 10;
     StepSpec Step;
     Step.Count = Count;
     Step.Need = {MilliCores, 100, 0};
@@ -233,7 +233,7 @@
   Given.submit("north", 10, 1000);
   EXPECT_EQ(Given.pass().size(), 4u);
   WorkerReport End;
-  End.Ended.push_back({1, {{{77, 0, 0}, 0}, 7}, RunEnd::Stopped, ""});
+  End.Ended.push_back({1, {{{77, 0, 0}, 0}, 7}, RunOutcome::Stopped, ""});
   Given.hear("w0", End);
   EXPECT_EQ(Given.pass().size(), 6u);
 }
--- a/src/scheduler/placement_test.cpp
+++ b/src/scheduler/placement_test.cpp
@@ -16,7 +16,7 @@
     for (const Effects::Start &Order : Given.pass().Starts) {
       Effects Out;
       WorkerReport Ended;
-      Ended.Ended.push_back({static_cast<uint64_t>(I + 1), Order.Run, RunEnd::Done, ""});
+      Ended.Ended.push_back({static_cast<uint64_t>(I + 1), Order.Run, RunOutcome::Done, ""});
       workerReported(Given.Cell, Order.Worker, Ended, Given.Now, Given.Now, Out);
     }
   }
@@ -86,7 +86,7 @@
 TEST(Placement, ALastingTaskIsNeverLate) {
   PlacementScene Given(1);
   StepSpec Lasting = tasks(1, 20000, 1000ms);
-  Lasting.Lasting = true;
+  Lasting.LongRunning = true;
   Given.submit(2, tasks(5, 10000, 2000ms, true), 1000);
   ASSERT_EQ(Given.pass().Starts.size(), 5u);
   Given.submit(1, Lasting, 1);
@@ -203,7 +203,7 @@
 }
 
 // Ends a run on the worker that holds it.
-void end(PlacementScene &Given, const Effects::Start &Order, RunEnd How) {
+void end(PlacementScene &Given, const Effects::Start &Order, RunOutcome How) {
   Worker &On = Given.Cell.Workers.at(Order.Worker);
   WorkerReport Report;
   Report.Ended.push_back({On.LastEnd + 1, Order.Run, How, ""});
@@ -226,11 +226,11 @@
   const auto Starts = Given.pass().Starts;
   ASSERT_EQ(Starts.size(), 4u);
   Given.Now += 50ms; // they fail in the middle of their work
-  end(Given, Starts[0], RunEnd::Failed);
-  end(Given, Starts[1], RunEnd::Failed);
+  end(Given, Starts[0], RunOutcome::Failed);
+  end(Given, Starts[1], RunOutcome::Failed);
   Given.submit(0, tasks(1, 1000, 100ms), 100);
   EXPECT_FALSE(Given.pass().Starts.empty());
-  end(Given, Starts[2], RunEnd::Failed);
+  end(Given, Starts[2], RunOutcome::Failed);
   Given.submit(0, tasks(1, 1000, 100ms), 100);
   EXPECT_TRUE(Given.pass().Starts.empty());
 }
@@ -251,7 +251,7 @@
   };
   Given.Now += 1500ms;
   EXPECT_EQ(Lapse(), 0u);
-  end(Given, First[0], RunEnd::Done);
+  end(Given, First[0], RunOutcome::Done);
   Given.Now += 5000ms;
   EXPECT_TRUE(Given.pass().Starts.empty());
 }
@@ -275,7 +275,7 @@
   const auto Starts = Given.pass().Starts;
   ASSERT_EQ(Starts.size(), 1u);
   Given.Now += 20ms;
-  end(Given, Starts[0], RunEnd::Failed);
+  end(Given, Starts[0], RunOutcome::Failed);
   Given.submit(0, tasks(1, 1000, 1000ms), 100);
   EXPECT_TRUE(Given.pass().Starts.empty());
   Given.Now += 1000ms;
@@ -297,7 +297,7 @@
     ASSERT_EQ(Out.Stops.size(), 1u);
     const Worker &On = Given.Cell.Workers.at(Starts[0].Worker);
     EXPECT_EQ(On.SetAsideUntil > Given.Now, Round == 0);
-    end(Given, Starts[0], RunEnd::Stopped);
+    end(Given, Starts[0], RunOutcome::Stopped);
   }
 }
 
@@ -308,12 +308,12 @@
   const auto First = Given.pass().Starts;
   ASSERT_EQ(First.size(), 1u);
   Given.Now += 20ms;
-  end(Given, First[0], RunEnd::Failed);
+  end(Given, First[0], RunOutcome::Failed);
   const auto Second = Given.pass().Starts;
   ASSERT_EQ(Second.size(), 1u);
   EXPECT_NE(Second[0].Worker, First[0].Worker);
   Given.Now += 20ms;
-  end(Given, Second[0], RunEnd::Failed);
+  end(Given, Second[0], RunOutcome::Failed);
   Given.submit(0, tasks(1, 1000, 1000ms), 100);
   const auto Third = Given.pass().Starts;
   ASSERT_EQ(Third.size(), 1u);
@@ -351,7 +351,7 @@
   ASSERT_EQ(Starts.size(), 3u);
   const auto EndOn = [&](const Effects::Start &Order) {
     WorkerReport Report;
-    Report.Ended.push_back({1, Order.Run, RunEnd::Done, ""});
+    Report.Ended.push_back({1, Order.Run, RunOutcome::Done, ""});
     Effects Out;
     workerReported(Given.Cell, Order.Worker, Report, Given.Now, Given.Now, Out);
     return Out.Stops.size();
@@ -457,7 +457,7 @@
   ASSERT_EQ(Given.submit(0, tasks(1, 1000, 100ms), 100), 1u);
   EXPECT_TRUE(Given.pass().Starts.empty());
   WorkerReport Stopped;
-  Stopped.Ended.push_back({1, Early, RunEnd::Stopped, ""});
+  Stopped.Ended.push_back({1, Early, RunOutcome::Stopped, ""});
   workerReported(Given.Cell, "w0", Stopped, Given.Now, Given.Now, Out);
   EXPECT_EQ(Given.pass().Starts.size(), 1u);
 }
@@ -468,7 +468,7 @@
   Spec->Id = 7;
   Spec->Service = "pool";
   Spec->MaxAttempts = 3;
-  Spec->Extension = 100;
+  Spec->CriticalPathFactor = 100;
   Spec->Steps.push_back(tasks(1, 1000, 100ms));
   return Spec;
 }
@@ -532,14 +532,14 @@
     Now += 200ms; // until it is looked for again
     WorkerInfo Leaving = workerOf("w0", "pool");
     Leaving.Draining = true;
-    Leaving.TimeLeft = 2s;
+    Leaving.DrainTimeLeft = 2s;
     workerListed(Cell, Leaving, Now);
   }
 };
 
 TEST(Leaving, ALastingTaskIsMoved) {
   StepSpec Lasting = tasks(1, 20000, 500ms);
-  Lasting.Lasting = true;
+  Lasting.LongRunning = true;
   LeavingWorker Given(Lasting);
   const auto Stops = Given.pass().Stops;
   ASSERT_EQ(Stops.size(), 1u);
@@ -556,7 +556,7 @@
 TEST(Leaving, AdviceIsAskedForWhatWasTakenOver) {
   PlacementScene Given(1);
   StepSpec Lasting = tasks(1, 20000, 500ms);
-  Lasting.Lasting = true;
+  Lasting.LongRunning = true;
   const StepKey Step{Given.submit(1, Lasting, 1000, true), 0, 0};
   Effects Out;
   WorkerReport Report;
@@ -577,7 +577,7 @@
 TEST(Leaving, AWorkerThatIsMissingInTheListLeavesToo) {
   PlacementScene Given(1);
   StepSpec Lasting = tasks(1, 20000, 500ms);
-  Lasting.Lasting = true;
+  Lasting.LongRunning = true;
   Given.submit(1, Lasting, 1000);
   ASSERT_EQ(Given.pass().Starts.size(), 1u);
   Given.addWorker("w1");
@@ -598,8 +598,8 @@
 
 TEST(Leaving, NoMoreTasksAreAwayThanTheStepMayMiss) {
   StepSpec Lasting = tasks(3, 10000, 500ms);
-  Lasting.Lasting = true;
-  Lasting.MayMiss = 1;
+  Lasting.LongRunning = true;
+  Lasting.MaxUnavailable = 1;
   LeavingWorker Given(Lasting);
   EXPECT_TRUE(Given.pass().Stops.empty()) << "none is at work yet";
   for (auto &[Run, What] : Given.Cell.Workers.at("w0").Attempts)
@@ -632,10 +632,10 @@
   WorkerReport Ended;
   for (const Effects::Start &Order : Starts)
     if (Order.Job->Id == Second)
-      Ended.Ended.push_back({1, Order.Run, RunEnd::Done, ""});
+      Ended.Ended.push_back({1, Order.Run, RunOutcome::Done, ""});
   for (const Effects::Start &Order : Starts)
     if (Order.Job->Id == First)
-      Ended.Ended.push_back({Ended.Ended.size() + 1, Order.Run, RunEnd::Done, ""});
+      Ended.Ended.push_back({Ended.Ended.size() + 1, Order.Run, RunOutcome::Done, ""});
   workerReported(Given.Cell, "w0", Ended, Given.Now, Given.Now, Out);
   const Worker &On = Given.Cell.Workers.at("w0");
   // The save of the first job is out when that of the second is done.
--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -100,7 +100,7 @@
 
 Resources needOf(const StepState &Step) {
   Resources Need = Step.Spec->Need;
-  if (Step.Spec->Fills)
+  if (Step.Spec->BestEffort)
     Need.MilliCores = 0;
   return Need;
 }
@@ -121,7 +121,7 @@
 }
 
 bool holdsLimit(const StepState &Step, const Worker &On) {
-  return Step.Spec->MostPerWorker > 0 && heldOf(Step, On) >= Step.Spec->MostPerWorker;
+  return Step.Spec->MaxPerWorker > 0 && heldOf(Step, On) >= Step.Spec->MaxPerWorker;
 }
 
 // True if the task has just failed on the worker. Where few advised workers have room it would go
@@ -147,7 +147,7 @@
 bool gainsByStopping(const Pass &In, const Job &Of, const StepState &Step) {
   if (Of.IsExcess)
     return false; // it gets the room that nobody within a share needs
-  return Step.Spec->Lasting ||
+  return Step.Spec->LongRunning ||
          In.Now + In.Cell.Limits.StopTime + Step.Spec->Estimate < Of.Objective;
 }
 
@@ -195,7 +195,7 @@
 Score scoreOf(const Pass &In, const Job &Of, const StepState &Step, const TaskState &Task,
               const Worker &On) {
   Score Value;
-  const bool Far = !Step.Spec->NearRack.empty() && On.Info.Rack != Step.Spec->NearRack;
+  const bool Far = !Step.Spec->PreferredRack.empty() && On.Info.Rack != Step.Spec->PreferredRack;
   Value.Penalty += Far ? 2 : 0;
   Value.Penalty += Task.FailedOn == &On ? 1 : 0;
   // A caller waits for the slowest task: a worker that is still slow is taken when no other is.
--- a/src/scheduler/scheduler_bench.cpp
+++ b/src/scheduler/scheduler_bench.cpp
@@ -70,7 +70,7 @@
     Spec->Service = "pool";
     Spec->Priority = Kind == 2 ? 0 : Kind + 1;
     Spec->MaxAttempts = 3;
-    Spec->Extension = 1000;
+    Spec->CriticalPathFactor = 1000;
     Spec->Advice = AdvicePolicy{};
     StepSpec Step;
     Step.Count = Kind == 0 ? 20 : Kind == 1 ? 25 : 3;
@@ -78,7 +78,7 @@
                           : (Kind == 1 ? Resources{6900, 13000, 0} : Resources{9900, 18000, 0});
     Step.Estimate = Milliseconds(Kind == 0 ? 6200 : Kind == 1 ? 2200 : 640);
     Step.Gang = Kind == 0;
-    Step.Checkpoints = Kind == 1;
+    Step.Checkpointable = Kind == 1;
     Spec->Steps.push_back(Step);
     addJob(Cell, Spec, LastJob, true, Now);
   }
--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -137,7 +137,7 @@
     Made->Model.PlanOf = [this](const RunKey &Run) { return planOf(Run); };
     Box *Raw = Made.get();
     Made->Model.OnStart = [this, Raw](const RunKey &Run) { judgeStart(*Raw, Run); };
-    Made->Model.OnEnd = [this](const RunKey &Run, RunEnd How) { ended(Run, How); };
+    Made->Model.OnEnd = [this](const RunKey &Run, RunOutcome How) { ended(Run, How); };
     Boxes[Id] = std::move(Made);
     if (Current && !Current->Over)
       after(Milliseconds(upTo(300)), [this, Id] {
@@ -198,7 +198,7 @@
     if (!fits(Sum, On.Info.Capacity) && !(Now < On.BeforeCounts && fits(Sum, On.Before)))
       broken("LIMIT", Run);
     judgeQuota(*Of.Spec, Run);
-    if (Step.MostPerWorker > 0 && OfStep > Step.MostPerWorker)
+    if (Step.MaxPerWorker > 0 && OfStep > Step.MaxPerWorker)
       broken("ROUTE (too many of a step)", Run);
     if (!Step.RequiredLabel.empty() && On.Info.Labels[0] != Step.RequiredLabel)
       broken("ROUTE (label)", Run);
@@ -208,7 +208,7 @@
           broken("TWICE (at the same time)", Run);
     if (NotedDone.count(Run.Task))
       broken("TWICE (after its end was noted)", Run);
-    for (const uint32_t Earlier : Step.After)
+    for (const uint32_t Earlier : Step.DependsOn)
       for (uint32_t I = 0; I < Of.Spec->Steps[Earlier].Count; ++I)
         if (!ReallyDone.count({{Run.Task.Step.Job, 0, Earlier}, I}))
           broken("ORDER", Run);
@@ -352,11 +352,11 @@
       Member->Works = Members.size() >= specOf(Run.Task.Step).Count;
   }
 
-  void ended(const RunKey &Run, RunEnd How) {
+  void ended(const RunKey &Run, RunOutcome How) {
     const StepSpec &Step = specOf(Run.Task.Step);
-    if (How == RunEnd::Failed)
+    if (How == RunOutcome::Failed)
       ++RealFailures[Step.Gang ? TaskKey{Run.Task.Step, 0} : Run.Task];
-    if (How == RunEnd::Done)
+    if (How == RunOutcome::Done)
       for (uint32_t I = 0; I < Step.Count; ++I)
         if (Step.Gang || I == Run.Task.Index)
           ReallyDone.insert({Run.Task.Step, I});
@@ -370,7 +370,8 @@
           if (Key.Task.Step == Run.Task.Step && Key.Run == Run.Run && !Other->Dead)
             Mates.push_back(Key);
         for (const RunKey &Mate : Mates)
-          Other->Model.end(Mate, How == RunEnd::Done ? RunEnd::Done : RunEnd::Broken);
+          Other->Model.end(Mate,
+                           How == RunOutcome::Done ? RunOutcome::Done : RunOutcome::GangBroken);
       }
     });
   }
@@ -451,7 +452,7 @@
       StartResult What = StartResult::Unknown;
       // An unhealthy worker does nothing and says so.
       if (How == Fate::Fine && !Calm && chance(0.1))
-        What = StartResult::RefusedBusy;
+        What = StartResult::RefusedUnhealthy;
       else if (How != Fate::Lost && !To->Dead)
         What = To->Model.start(Seen);
       if (To->Refuses && How != Fate::Late)
@@ -584,9 +585,9 @@
       if (End.Number > Through)
         continue;
       const StepSpec &Step = specOf(End.Run.Task.Step);
-      if (End.How == RunEnd::Failed && !Step.Gang)
+      if (End.Outcome == RunOutcome::Failed && !Step.Gang)
         NotedFailures[End.Run.Task].insert(End.Run.Run);
-      if (End.How != RunEnd::Done)
+      if (End.Outcome != RunOutcome::Done)
         continue;
       for (uint32_t I = 0; I < Step.Count; ++I)
         if (Step.Gang || I == End.Run.Task.Index)
@@ -726,8 +727,8 @@
     Spec->Organisation = chance(0.3) ? "" : chance(0.5) ? "north" : "south";
     Spec->Priority = static_cast<int>(upTo(2));
     Spec->MaxAttempts = 2 + static_cast<int>(upTo(1));
-    Spec->Extension = 2;
-    Spec->Target = 1000ms;
+    Spec->CriticalPathFactor = 2;
+    Spec->ObjectiveSlack = 1000ms;
     Spec->AcceptedAt = wall();
     if (chance(0.6))
       Spec->Advice = AdvicePolicy{};
@@ -738,13 +739,13 @@
       Step.Need = {500 + upTo(2500), 500 + upTo(2500), 0};
       Step.Estimate = Milliseconds(upTo(800));
       if (I > 0 && chance(0.8))
-        Step.After = {I - 1};
-      Step.Checkpoints = chance(0.5);
+        Step.DependsOn = {I - 1};
+      Step.Checkpointable = chance(0.5);
       Step.Gang = chance(0.3);
       if (Step.Gang) // fits on one box
         Step.Need = {500 + upTo(900), 500 + upTo(900), 0};
       Step.RequiredLabel = chance(0.1) && !Spec->Advice && !Step.Gang ? "a" : "";
-      Step.MostPerWorker = chance(0.1) && !Spec->Advice && !Step.Gang ? 2 : 0;
+      Step.MaxPerWorker = chance(0.1) && !Spec->Advice && !Step.Gang ? 2 : 0;
       Spec->Steps.push_back(Step);
     }
     Store[Spec->Id] = {Spec, JobPhase::Live, "", ++Revision, false};
@@ -781,10 +782,10 @@
       return loseBox(*Which);
     // It says that it leaves, and does.
     Which->Info.Draining = true;
-    Which->Info.TimeLeft = Milliseconds(upTo(2000));
+    Which->Info.DrainTimeLeft = Milliseconds(upTo(2000));
     if (!Current->Over)
       workerListed(Current->Cell, Which->Info, steady());
-    after(Which->Info.TimeLeft, [this, Which] {
+    after(Which->Info.DrainTimeLeft, [this, Which] {
       if (!Which->Dead)
         loseBox(*Which);
     });
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -146,9 +146,9 @@
 // attempts on it; after one that failed at once, for a short one. Both belong to the rule that a
 // task does not go back to where it failed (hasJustFailedOn has the figure).
 void judge(CellState &Cell, Worker &On, const EndedRun &End, TimePoint Now) {
-  if (End.How == RunEnd::Done)
+  if (End.Outcome == RunOutcome::Done)
     On.FailuresInARow = 0;
-  if (End.How != RunEnd::Failed)
+  if (End.Outcome != RunOutcome::Failed)
     return;
   if (failedAtOnce(Cell, On, End.Run, Now))
     On.SetAsideUntil = std::max(On.SetAsideUntil, Now + Cell.Limits.NotBackTime);
@@ -167,7 +167,7 @@
     judge(Cell, On, End, Now);
     noteListedEnd(Cell, End, Out);
     unbook(Cell, On, End.Run);
-    runEnded(Cell, End.Run, End.How, End.Checkpoint, &On, Now, Out);
+    runEnded(Cell, End.Run, End.Outcome, End.Checkpoint, &On, Now, Out);
     const auto Of = Cell.Jobs.find(End.Run.Task.Step.Job);
     const uint64_t Save = Of == Cell.Jobs.end() ? 0 : Of->second.NeedsSave;
     if (Save == 0 && On.Unsaved.empty()) {
@@ -194,7 +194,7 @@
   for (const RunKey &Run : Gone) {
     noteNotBegun(Cell, Run.Task, On, Out);
     unbook(Cell, On, Run);
-    runEnded(Cell, Run, RunEnd::Stopped, "", &On, Now, Out);
+    runEnded(Cell, Run, RunOutcome::Stopped, "", &On, Now, Out);
   }
 }
 
@@ -212,9 +212,9 @@
   if (AdviceState::Permit *Used = Step ? permitOn(*Step, On) : nullptr;
       Used && What == StartResult::RefusedTicket)
     Used->ValidUntil = Now;
-  if (What == StartResult::RefusedBusy || What == StartResult::NotSent)
+  if (What == StartResult::RefusedUnhealthy || What == StartResult::NotSent)
     On.SetAsideUntil = std::max(On.SetAsideUntil, Now + ShortPause);
-  if (What == StartResult::RefusedRoom)
+  if (What == StartResult::RefusedNoCapacity)
     Out.Looks.push_back(On.Info.Id);
   noteNotBegun(Cell, Run.Task, On, Out);
   unbook(Cell, On, Run);
@@ -243,7 +243,7 @@
   ++Step.Booked;
   Attempt &Made = On.Attempts[{{Step.Key, Index}, Run}];
   Made.Need = Step.Spec->Need;
-  if (Step.Spec->Fills)
+  if (Step.Spec->BestEffort)
     Made.Need.MilliCores = 0;
   charge(Made, Of.Owner, Step.Spec->Need);
   Made.Priority = Of.IsExcess ? ExcessPriority : Of.Spec->Priority;
@@ -253,7 +253,7 @@
   Made.Estimate = Step.Spec->Estimate;
   Made.OnTrial = beginsApart(Step, Task);
   On.Trials += Made.OnTrial ? 1 : 0;
-  Made.MayBeStopped = Step.Spec->Checkpoints && !Step.Spec->Gang && !Step.Spec->Lasting;
+  Made.MayBeStopped = Step.Spec->Checkpointable && !Step.Spec->Gang && !Step.Spec->LongRunning;
   Made.Phase = Phase;
   Made.Since = Now;
   const bool IsPlanned = Phase == AttemptPhase::Planned;
@@ -336,8 +336,8 @@
   Worker &On = makeWorker(Cell, Info.Id);
   On.Info = Info;
   On.Listed = true;
-  On.LeavesAt = Now + Info.TimeLeft;
-  On.SlowUntil = Now + Info.SlowFor;
+  On.LeavesAt = Now + Info.DrainTimeLeft;
+  On.SlowUntil = Now + Info.WarmUpTimeLeft;
   On.Evacuated = Cell.Evacuated.Names.count(Info.Zone) > 0;
   if (New)
     On.LeaseEnd = Now;
@@ -411,7 +411,7 @@
   if (!On)
     return;
   const auto Found = On->Attempts.find(Run);
-  if (What == StartResult::OtherLife) {
+  if (What == StartResult::OtherIncarnation) {
     if (Found != On->Attempts.end() && Found->second.Phase == AttemptPhase::Starting)
       refused(Cell, *On, Run, What, Now, Out);
     return workerOver(Cell, Id, Now, Out);
@@ -506,7 +506,7 @@
   std::vector<RunKey> Stuck;
   for (const auto &[Run, What] : On.Attempts) {
     const StepState *Step = findStep(Cell, Run.Task.Step);
-    const bool Watched = What.Phase == AttemptPhase::Running && Step && !Step->Spec->Lasting &&
+    const bool Watched = What.Phase == AttemptPhase::Running && Step && !Step->Spec->LongRunning &&
                          What.EndsSince == TimePoint{};
     if (Watched && What.Percent < 100 &&
         On.ReportedAt - What.PercentChanged > stuckTime(*Step->Spec))
--- a/testsuite/replay/crash_scene.h
+++ b/testsuite/replay/crash_scene.h
@@ -60,8 +60,8 @@
     Spec->Service = "pool";
     Spec->Priority = 1;
     Spec->MaxAttempts = 2;
-    Spec->Extension = 4;
-    Spec->Target = Milliseconds(1000);
+    Spec->CriticalPathFactor = 4;
+    Spec->ObjectiveSlack = Milliseconds(1000);
     Spec->Steps.push_back(std::move(Step));
     Specs[Spec->Id] = Spec;
     addJob(Cell, Spec, Spec->Id, true, Now);
@@ -69,7 +69,7 @@
   }
 
   // What the worker says of itself: the runs that are there, and ends that are new.
-  void report(const std::string &Id, const std::vector<std::pair<RunKey, RunEnd>> &Ends = {}) {
+  void report(const std::string &Id, const std::vector<std::pair<RunKey, RunOutcome>> &Ends = {}) {
     WorkerReport Report;
     for (const auto &[Run, How] : Ends) {
       Here[Id].erase(Run);
@@ -110,7 +110,7 @@
       workerLeased(Cell, Order.Worker, Now + Lease);
       if (Refusing.count(Order.Worker)) {
         Effects Next;
-        startAnswered(Cell, Order.Worker, Order.Run, StartResult::RefusedBusy, Now, Next);
+        startAnswered(Cell, Order.Worker, Order.Run, StartResult::RefusedUnhealthy, Now, Next);
       } else if (!Silent.count(Order.Worker)) {
         Here[Order.Worker].insert(Order.Run);
         if (Crashers.count(Order.Run.Task.Step.Job))
@@ -123,7 +123,7 @@
       Effects Next;
       stopAnswered(Cell, Order.Worker, Order.Run, true, Now, Next);
       if (Here[Order.Worker].count(Order.Run))
-        report(Order.Worker, {{Order.Run, RunEnd::Stopped}});
+        report(Order.Worker, {{Order.Run, RunOutcome::Stopped}});
     }
     Losses.insert(Losses.end(), Out.Losses.begin(), Out.Losses.end());
   }
@@ -172,9 +172,9 @@
 
   // The members of a gang that is not whole any more end.
   void breakRuns(const std::string &Id) {
-    std::vector<std::pair<RunKey, RunEnd>> Ends;
+    std::vector<std::pair<RunKey, RunOutcome>> Ends;
     for (const RunKey &Run : Here[Id])
-      Ends.emplace_back(Run, RunEnd::Broken);
+      Ends.emplace_back(Run, RunOutcome::GangBroken);
     report(Id, Ends);
   }
 
--- a/testsuite/replay/load_replay.cpp
+++ b/testsuite/replay/load_replay.cpp
@@ -45,13 +45,13 @@
     Spec->Organisation = Of.Organisation;
     Spec->Priority = Of.Priority;
     Spec->MaxAttempts = 3;
-    Spec->Extension = Of.Extension;
-    Spec->Target = Of.Target;
+    Spec->CriticalPathFactor = Of.CriticalPathFactor;
+    Spec->ObjectiveSlack = Of.Target;
     Spec->AcceptedAt =
         Cell.Wall + std::chrono::duration_cast<WallTime::duration>(Now - Cell.WallAt);
-    if (Of.Decide.count() > 0)
+    if (Of.BaseLatency.count() > 0)
       Spec->Advice =
-          AdvicePolicy{Of.Decide, std::chrono::duration<double, std::milli>(Of.EachWorkerMs),
+          AdvicePolicy{Of.BaseLatency, std::chrono::duration<double, std::milli>(Of.EachWorkerMs),
                        Setting.TicketTime};
     Spec->Steps.push_back(Of.Step);
     addJob(Cell, Spec, ++Revision, true, Now);
@@ -112,7 +112,7 @@
     after(Setting.OrderTime, [this, Order] {
       Effects Then;
       stopAnswered(Cell, Order.Worker, Order.Run, true, Now, Then);
-      after(Cell.Limits.StopTime, [this, Key = Order.Run] { ends(Key, RunEnd::Stopped); });
+      after(Cell.Limits.StopTime, [this, Key = Order.Run] { ends(Key, RunOutcome::Stopped); });
     });
   }
   for (Effects::Ask &Question : Out.Asks)
@@ -132,16 +132,16 @@
   Runs[Order.Run].Worker = Order.Worker;
   const StepSpec &Spec = Kinds.at(Step.Job).Step;
   if (isSick(Order.Worker))
-    return beginWork(Order.Run, Setting.SickFailure, RunEnd::Failed);
+    return beginWork(Order.Run, Setting.SickFailure, RunOutcome::Failed);
   if (!Spec.Gang)
-    return beginWork(Order.Run, Spec.Estimate - Saved[Order.Run.Task], RunEnd::Done);
+    return beginWork(Order.Run, Spec.Estimate - Saved[Order.Run.Task], RunOutcome::Done);
   auto &Members = Present[{Step, Order.Run.Run}];
   Members.insert(Order.Run.Task.Index);
   for (uint32_t I = 0; Members.size() == Spec.Count && I < Spec.Count; ++I)
-    beginWork({{Step, I}, Order.Run.Run}, Spec.Estimate, RunEnd::Done);
+    beginWork({{Step, I}, Order.Run.Run}, Spec.Estimate, RunOutcome::Done);
 }
 
-void LoadReplay::beginWork(const RunKey &Key, Milliseconds Time, RunEnd How) {
+void LoadReplay::beginWork(const RunKey &Key, Milliseconds Time, RunOutcome How) {
   const auto Found = Runs.find(Key);
   if (Found == Runs.end())
     return; // it was broken meanwhile
@@ -150,7 +150,7 @@
   after(Time, [this, Key, How] { ends(Key, How); });
 }
 
-WorkerReport LoadReplay::reportOf(const std::string &Worker, const RunKey &Ended, RunEnd How) {
+WorkerReport LoadReplay::reportOf(const std::string &Worker, const RunKey &Ended, RunOutcome How) {
   WorkerReport Report;
   Report.Ended.push_back({++LastEnds[Worker], Ended, How, ""});
   for (const auto &[Key, At] : Runs) {
@@ -164,7 +164,7 @@
 }
 
 // A member that fails breaks the others of its run.
-void LoadReplay::ends(const RunKey &Key, RunEnd How) {
+void LoadReplay::ends(const RunKey &Key, RunOutcome How) {
   const auto Found = Runs.find(Key);
   if (Found == Runs.end())
     return; // it was stopped or broken before
@@ -172,17 +172,17 @@
   Runs.erase(Found);
   const StepKey &Step = Key.Task.Step;
   const StepSpec &Spec = Kinds.at(Step.Job).Step;
-  Results.at(Step.Job).Failures += How == RunEnd::Failed ? 1 : 0;
-  if (How == RunEnd::Stopped && Spec.Checkpoints)
+  Results.at(Step.Job).Failures += How == RunOutcome::Failed ? 1 : 0;
+  if (How == RunOutcome::Stopped && Spec.Checkpointable)
     Saved[Key.Task] += std::chrono::duration_cast<Milliseconds>(Now - Was.Since);
   Effects Out;
   workerReported(Cell, Was.Worker, reportOf(Was.Worker, Key, How), Now, Now, Out);
   apply(Out);
-  if (!Spec.Gang || How == RunEnd::Done)
+  if (!Spec.Gang || How == RunOutcome::Done)
     return;
   for (const auto &[Other, At] : Runs)
     if (Other.Task.Step == Step && Other.Run == Key.Run)
-      after(Setting.OrderTime, [this, Broken = Other] { ends(Broken, RunEnd::Broken); });
+      after(Setting.OrderTime, [this, Broken = Other] { ends(Broken, RunOutcome::GangBroken); });
 }
 
 // The most urgent question first, and of those the oldest.
--- a/testsuite/replay/load_replay.h
+++ b/testsuite/replay/load_replay.h
@@ -31,10 +31,10 @@
 struct ReplayKind {
   int Priority = 0;
   StepSpec Step;
-  double Extension = 2;
+  double CriticalPathFactor = 2;
   Milliseconds Target{1000};
   double GoodShare = 1; ///< Part of the workers that advice lets a step run on.
-  Milliseconds Decide{0};
+  Milliseconds BaseLatency{0};
   double EachWorkerMs = 0;
   std::string Organisation; ///< Empty: nobody's.
 };
@@ -77,9 +77,9 @@
   void placeSoon();
   void apply(Effects &Out);
   void started(const Effects::Start &Order);
-  void beginWork(const RunKey &Key, Milliseconds Time, RunEnd How);
-  WorkerReport reportOf(const std::string &Worker, const RunKey &Ended, RunEnd How);
-  void ends(const RunKey &Key, RunEnd How);
+  void beginWork(const RunKey &Key, Milliseconds Time, RunOutcome How);
+  WorkerReport reportOf(const std::string &Worker, const RunKey &Ended, RunOutcome How);
+  void ends(const RunKey &Key, RunOutcome How);
   void dispatchQuestions();
   void answer(const Effects::Ask &Question);
   void saveAll();
--- a/testsuite/replay/load_replay_test.cpp
+++ b/testsuite/replay/load_replay_test.cpp
@@ -37,7 +37,7 @@
   Step.Count = Count;
   Step.Need = {11000, 31000, 0};
   Step.Estimate = 2200ms;
-  Step.Checkpoints = true;
+  Step.Checkpointable = true;
   return {2, Step, 4, 3000ms, 0.45, 140ms, 2.0};
 }
 
@@ -123,7 +123,7 @@
   Scan.Step.Count = 25;
   Scan.Step.Need = {1700, 2500, 0};
   Scan.Step.Estimate = 3400ms;
-  Scan.Step.Checkpoints = true;
+  Scan.Step.Checkpointable = true;
   ReplayKind Rebuild{1, {}, 0.1, 0ms, 0.25, 455ms, 6.5};
   Rebuild.Step.Count = 20;
   Rebuild.Step.Need = {4500, 4500, 0};
@@ -189,7 +189,7 @@
   Scan.Step.Count = 25;
   Scan.Step.Need = {1700, 2500, 0};
   Scan.Step.Estimate = 3400ms;
-  Scan.Step.Checkpoints = true;
+  Scan.Step.Checkpointable = true;
   ReplayKind Check{0, {}, 1.5, 250ms};
   Check.Step.Count = 3;
   Check.Step.Need = {2500, 2500, 0};
--- a/testsuite/replay/placement_scene.h
+++ b/testsuite/replay/placement_scene.h
@@ -38,8 +38,8 @@
     workerListed(Cell, Info, Now);
   }
 
-  // The objective is \p Extension times the estimate after now.
-  JobId submit(int Priority, StepSpec Step, double Extension, bool Advised = false,
+  // The objective is \p CriticalPathFactor times the estimate after now.
+  JobId submit(int Priority, StepSpec Step, double CriticalPathFactor, bool Advised = false,
                const std::string &Queue = "") {
     auto Spec = std::make_shared<JobSpec>();
     Spec->Id = ++LastJob;
@@ -47,7 +47,7 @@
     Spec->Service = "pool";
     Spec->Priority = Priority;
     Spec->MaxAttempts = 3;
-    Spec->Extension = Extension;
+    Spec->CriticalPathFactor = CriticalPathFactor;
     if (Advised)
       Spec->Advice = AdvicePolicy{Milliseconds(500), Milliseconds(5), Milliseconds(2000)};
     Spec->Steps.push_back(std::move(Step));
@@ -80,7 +80,7 @@
   Step.Count = Count;
   Step.Need = {MilliCores, 1000, 0};
   Step.Estimate = Estimate;
-  Step.Checkpoints = Saves;
+  Step.Checkpointable = Saves;
   return Step;
 }
 
--- a/testsuite/standins/users_platform.cpp
+++ b/testsuite/standins/users_platform.cpp
@@ -351,7 +351,7 @@
     }
     Of.Model.Runs.clear();
     for (const RunKey &Run : Lost)
-      ended(Run, RunEnd::Broken);
+      ended(Run, RunOutcome::GangBroken);
   }
 
   // A life of the worker: empty, with a new id.
@@ -365,7 +365,7 @@
     Seat *Raw = &Of;
     Of.Model.PlanOf = [this](const RunKey &Run) { return planOf(Run); };
     Of.Model.OnStart = [this, Raw](const RunKey &Run) { judge(*Raw, Run); };
-    Of.Model.OnEnd = [this](const RunKey &Run, RunEnd How) { ended(Run, How); };
+    Of.Model.OnEnd = [this](const RunKey &Run, RunOutcome How) { ended(Run, How); };
     Of.Needs.clear();
     Of.Dead = Of.Crashed = Of.Mute = false;
     list(Of);
@@ -545,11 +545,11 @@
       Member->Works = Members.size() >= Size;
   }
 
-  void ended(const RunKey &Run, RunEnd How) {
+  void ended(const RunKey &Run, RunOutcome How) {
     const Known *Step = knownStep(Run.Task.Step);
     if (!Step)
       return;
-    if (How == RunEnd::Done)
+    if (How == RunOutcome::Done)
       for (uint32_t I = 0; I < Step->Count; ++I)
         if (Step->Gang || I == Run.Task.Index)
           Done.insert({Run.Task.Step, I});
@@ -562,7 +562,8 @@
           if (Key.Task.Step == Run.Task.Step && Key.Run == Run.Run)
             Mates.push_back(Key);
         for (const RunKey &Mate : Mates)
-          Other->Model.end(Mate, How == RunEnd::Done ? RunEnd::Done : RunEnd::Broken);
+          Other->Model.end(Mate,
+                           How == RunOutcome::Done ? RunOutcome::Done : RunOutcome::GangBroken);
       }
     });
   }
@@ -586,9 +587,9 @@
     if (What == StartResult::Started)
       return answer(200, Clock);
     json::object Refusal = Clock;
-    Refusal["reason"] = What == StartResult::RefusedFence  ? "fence"
-                        : What == StartResult::RefusedLate ? "late"
-                                                           : "old";
+    Refusal["reason"] = What == StartResult::RefusedFence     ? "fence"
+                        : What == StartResult::RefusedExpired ? "late"
+                                                              : "old";
     return answer(409, Refusal);
   }
 
@@ -630,7 +631,7 @@
     json::array Ended;
     for (const EndedRun &End : Report->Ended)
       Ended.push_back(json::array{End.Number, toString(End.Run.Task), End.Run.Run,
-                                  Ways[static_cast<int>(End.How)], End.Checkpoint});
+                                  Ways[static_cast<int>(End.Outcome)], End.Checkpoint});
     co_return answer(200, json::object{{"clock_ms", Report->WorkerClock.count()},
                                        {"active", Active},
                                        {"ended_at", Ended}});
@@ -641,7 +642,7 @@
       return;
     for (const EndedRun &End : On.Model.Ended) {
       const Known *Step = knownStep(End.Run.Task.Step);
-      if (End.Number > Through || End.How != RunEnd::Done || !Step)
+      if (End.Number > Through || End.Outcome != RunOutcome::Done || !Step)
         continue;
       for (uint32_t I = 0; I < Step->Count; ++I)
         if (Step->Gang || I == End.Run.Task.Index)
--- a/testsuite/standins/worker_model.cpp
+++ b/testsuite/standins/worker_model.cpp
@@ -12,7 +12,7 @@
     LeaseUntil = std::max(LeaseUntil, std::min(*Until, Now + LongestLease));
 }
 
-void WorkerModel::end(const RunKey &Run, RunEnd How) {
+void WorkerModel::end(const RunKey &Run, RunOutcome How) {
   const auto Found = Runs.find(Run);
   if (Found == Runs.end())
     return;
@@ -27,15 +27,15 @@
 
 void WorkerModel::advance(Milliseconds To) {
   Now = std::max(Now, To);
-  std::vector<std::pair<RunKey, RunEnd>> Over;
+  std::vector<std::pair<RunKey, RunOutcome>> Over;
   for (const auto &[Key, What] : Runs) {
     if (Now > LeaseUntil)
-      Over.emplace_back(Key, RunEnd::Lapsed);
+      Over.emplace_back(Key, RunOutcome::LeaseExpired);
     else if (What.StopAt && *What.StopAt <= Now)
-      Over.emplace_back(Key, RunEnd::Stopped);
+      Over.emplace_back(Key, RunOutcome::Stopped);
     else if (!What.StopAt && What.Works && !What.Plan.Lasting &&
              Now - What.WorksSince >= What.Plan.Work)
-      Over.emplace_back(Key, What.Plan.Fails ? RunEnd::Failed : RunEnd::Done);
+      Over.emplace_back(Key, What.Plan.Fails ? RunOutcome::Failed : RunOutcome::Done);
   }
   for (const auto &[Key, How] : Over)
     end(Key, How);
@@ -46,13 +46,13 @@
     return StartResult::RefusedFence;
   Fence = Order.Fence;
   if (Order.Until < Now)
-    return StartResult::RefusedLate;
+    return StartResult::RefusedExpired;
   extend(Order.Until);
   if (Runs.count(Order.Run))
     return StartResult::Started;
   const auto Bar = Barred.find(Order.Run.Task);
   if (Bar != Barred.end() && Order.Run.Run <= Bar->second)
-    return StartResult::RefusedOld;
+    return StartResult::RefusedStaleRun;
   Run Made;
   Made.Plan = PlanOf ? PlanOf(Order.Run) : RunPlan{};
   Made.StartedAt = Made.WorksSince = Now;
--- a/testsuite/standins/worker_model.h
+++ b/testsuite/standins/worker_model.h
@@ -50,7 +50,7 @@
   std::map<sched::TaskKey, uint32_t> Barred; ///< This run and lower ones can't start (again).
   uint64_t LastEnd = 0;
   std::function<RunPlan(const sched::RunKey &)> PlanOf;
-  std::function<void(const sched::RunKey &, sched::RunEnd)> OnEnd;
+  std::function<void(const sched::RunKey &, sched::RunOutcome)> OnEnd;
   std::function<void(const sched::RunKey &)> OnStart;
 
   /// Lets time pass up to \p To.
@@ -62,7 +62,7 @@
   std::optional<sched::WorkerReport> hold(uint64_t OrderFence, uint64_t ForgetThrough,
                                           std::optional<Milliseconds> Until);
   /// Gang members elsewhere are told by whoever owns all models.
-  void end(const sched::RunKey &Run, sched::RunEnd How);
+  void end(const sched::RunKey &Run, sched::RunOutcome How);
 
 private:
   void extend(std::optional<Milliseconds> Until);
