--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -124,7 +124,7 @@
     }
     Joined = ok(In);
     if (Joined)
-      Requests.joined();
+      Requests.onJoined();
     while (!Next->over() && !Stopping && ok(In))
       co_await sleepFor(RetryPause);
     Joined = Joined && Stopping;
@@ -165,7 +165,7 @@
 void EntryProcess::hear(const wire::ExchangeRequest &News) {
   const TimePoint Now = Time.Now();
   for (const wire::ShardSummary &Summary : News.summary())
-    Directory.hear(Summary, Now);
+    Directory.applySummary(Summary, Now);
   {
     std::lock_guard Lock(Mutex);
     ConfigVersions[News.member()] = News.config_version();
@@ -222,7 +222,7 @@
   while (true) {
     const wire::ExchangeRequest Own = ownNews();
     for (const wire::ShardSummary &Summary : Own.summary())
-      Directory.hear(Summary, Time.Now());
+      Directory.applySummary(Summary, Time.Now());
     const std::string Now = Own.SerializeAsString();
     Quiet = Now == Told ? Quiet + 1 : 0;
     Told = Now;
--- a/src/entry/interfaces.cpp
+++ b/src/entry/interfaces.cpp
@@ -299,7 +299,7 @@
   const auto Set = [&](const std::string &Name, const std::string &Help, double Value) {
     prometheus::BuildGauge().Name(Name).Help(Help).Register(Registry).Add({}).Set(Value);
   };
-  ShardFigures Sum;
+  ShardStats Sum;
   size_t Shards = 0;
   size_t Draining = 0;
   Milliseconds ForJournal{0};
@@ -307,7 +307,7 @@
   const auto Current = session();
   if (Current) {
     for (const auto &Runner : Current->ownership().all()) {
-      const ShardFigures One = Runner->figures();
+      const ShardStats One = Runner->stats();
       ++Shards;
       Sum.Starts += One.Starts;
       Sum.Jobs += One.Jobs;
@@ -319,7 +319,7 @@
       Sum.StartsInFlight += One.StartsInFlight;
       Draining += One.Draining ? 1 : 0;
       Milliseconds &Longest = One.Stage == ReportStage::Journal ? ForJournal : ForHome;
-      Longest = std::max(Longest, One.InStage);
+      Longest = std::max(Longest, One.TimeInStage);
     }
     Set("valveshelf_journal_writes", "Entries this process wrote to its journal.",
         static_cast<double>(Current->journal().writes()));
@@ -349,13 +349,13 @@
       static_cast<double>(Sum.WorkersReady));
   Set("valveshelf_config_version", "Configuration in force.",
       static_cast<double>(Config.inForce()->Version));
-  const RouterFigures &Routed = Requests.figures();
+  const RouterStats &Routed = Requests.stats();
   Set("valveshelf_requests_served", "Requests with an answer.", static_cast<double>(Routed.Served));
   Set("valveshelf_requests_refused", "Requests refused or failed.",
       static_cast<double>(Routed.Refused));
   Set("valveshelf_requests_retried", "Tries beyond the first.",
       static_cast<double>(Routed.Retried));
-  Set("valveshelf_requests_cut", "Answers cut on the way.", static_cast<double>(Routed.Cut));
+  Set("valveshelf_requests_cut", "Answers cut on the way.", static_cast<double>(Routed.Truncated));
   const std::string Text = prometheus::TextSerializer().Serialize(Registry.Collect());
   return {200, {{"Content-Type", "text/plain; version=0.0.4"}}, Text};
 }
--- a/src/entry/session.cpp
+++ b/src/entry/session.cpp
@@ -30,7 +30,7 @@
 DecisionLimits limitsOf(const Timing &Times) {
   DecisionLimits Limits;
   Limits.TaskLease = Times.TaskLease;
-  Limits.Settle = Times.WorkerTimeout + Times.Margin;
+  Limits.SettleTime = Times.WorkerTimeout + Times.Margin;
   Limits.LeaseMargin = Times.Margin * 2;
   return Limits;
 }
--- a/src/entry/shard_operations.cpp
+++ b/src/entry/shard_operations.cpp
@@ -69,7 +69,7 @@
   case HomePhase::Waiting:
     return "waiting";
   case HomePhase::Lent:
-    return Task.Seen.empty() ? "lent" : std::string_view(Task.Seen);
+    return Task.ReportedPhase.empty() ? "lent" : std::string_view(Task.ReportedPhase);
   case HomePhase::Ended:
     break;
   }
@@ -86,7 +86,7 @@
   uint32_t Running = 0;
   std::map<TaskOutcome, uint32_t> Outcomes;
   for (const HomeTask &Task : Job.Tasks) {
-    Running += Task.Phase == HomePhase::Lent && Task.Seen == "running" ? 1 : 0;
+    Running += Task.Phase == HomePhase::Lent && Task.ReportedPhase == "running" ? 1 : 0;
     if (Task.Phase == HomePhase::Ended)
       ++Outcomes[Task.Outcome];
   }
@@ -150,11 +150,11 @@
       if (!Tools.Log.storeUp())
         co_return Error{ErrorKind::StoreUnavailable,
                         "the store does not answer, so the job can't be recorded"};
-      if (Draining || !mayChange())
+      if (Draining || !mayModifyState())
         co_return handedOver();
       if (Tools.Directory.capableShards(Spec).empty())
-        co_return Error{ErrorKind::Impossible, Tools.Directory.whyImpossible(Spec)};
-      carryOut(acceptJob(State, Spec, Tools.Time.Now()), callbackOf(Waiter));
+        co_return Error{ErrorKind::Impossible, Tools.Directory.explainImpossible(Spec)};
+      execute(acceptJob(State, Spec, Tools.Time.Now()), callbackOf(Waiter));
     }
   }
   if (co_await waitFor(Waiter) != Durability::Stored)
@@ -192,9 +192,9 @@
     if (!Tools.Log.storeUp())
       co_return Error{ErrorKind::StoreUnavailable,
                       "the store does not answer, so the cancel can't be recorded"};
-    if (!mayChange())
+    if (!mayModifyState())
       co_return handedOver();
-    carryOut(cancelJob(State, Job), callbackOf(Waiter));
+    execute(cancelJob(State, Job), callbackOf(Waiter));
   }
   if (co_await waitFor(Waiter) != Durability::Stored)
     co_return notRecorded(Job);
@@ -211,7 +211,7 @@
     if (Found->second.Spec->Kind != JobKind::Service || Count < Found->second.Tasks.size())
       co_return Error{ErrorKind::BadRequest,
                       "only a service can be resized, and only to a larger count"};
-    if (!mayChange())
+    if (!mayModifyState())
       co_return handedOver();
     wire::Record What;
     What.set_shard(Shard);
@@ -220,7 +220,7 @@
     applyRecord(State, What, Tools.Time.Now());
     Decision Resized;
     Resized.Records.push_back(std::move(What));
-    carryOut(std::move(Resized), callbackOf(Waiter));
+    execute(std::move(Resized), callbackOf(Waiter));
   }
   if (co_await waitFor(Waiter) != Durability::Stored)
     co_return notRecorded(Job);
@@ -240,7 +240,7 @@
   const TimePoint Now = Tools.Time.Now();
   const std::vector<uint32_t> Able = Tools.Directory.capableShards(*Home.Spec);
   json::array Shards;
-  const auto Rooms = Tools.Directory.rooms();
+  const auto Rooms = Tools.Directory.loads();
   for (const uint32_t Other : Able) {
     const auto Room = Rooms.find(Other);
     json::object Line{{"shard", Other}, {"owner", toString(ownerOf(Other))}};
@@ -249,13 +249,13 @@
       Line["queued"] = Room->second.Queued;
       Line["room_now"] = fits(Home.Spec->Size, Room->second.LargestFree);
       Line["heard_ms_ago"] =
-          std::chrono::duration_cast<Milliseconds>(Now - Room->second.Heard).count();
+          std::chrono::duration_cast<Milliseconds>(Now - Room->second.ReceivedAt).count();
     }
     Shards.push_back(std::move(Line));
   }
   Root["capable_shards"] = std::move(Shards);
   Root["why"] = Home.Ended == Home.Tasks.size() ? "all tasks have ended"
-                : Able.empty()                  ? Tools.Directory.whyImpossible(*Home.Spec)
+                : Able.empty()                  ? Tools.Directory.explainImpossible(*Home.Spec)
                 : Home.Waiting > 0
                     ? "tasks wait at the home shard for room on a capable shard"
                     : "all tasks are placed or queued on the shards named in 'tasks'";
@@ -286,12 +286,12 @@
   auto Waiter = std::make_shared<DurableWaiter>(Tools.Where);
   {
     std::lock_guard Lock(Mutex);
-    if (HomeEpoch != Request.home_epoch() || Draining || !mayChange()) {
+    if (HomeEpoch != Request.home_epoch() || Draining || !mayModifyState()) {
       Reply.set_not_owner(true);
       co_return Reply;
     }
-    releaseHold(State, Request.spec().id());
-    carryOut(adoptParts(State, Request, Tools.Time.Now()), softCallbackOf(Waiter));
+    releaseHeldCapacity(State, Request.spec().id());
+    execute(adoptTasks(State, Request, Tools.Time.Now()), softCallbackOf(Waiter));
   }
   if (mayAct())
     tick();
@@ -305,10 +305,10 @@
   auto Waiter = std::make_shared<DurableWaiter>(Tools.Where);
   {
     std::lock_guard Lock(Mutex);
-    if (!mayChange())
+    if (!mayModifyState())
       co_return Reply; // told again, to the next owner
     // The running shard forgets what is acknowledged, so only what the store holds is.
-    carryOut(onReport(State, Request, Tools.Time.Now(), Tools.Time.Wall()), callbackOf(Waiter));
+    execute(onReport(State, Request, Tools.Time.Now(), Tools.Time.Wall()), callbackOf(Waiter));
   }
   Reply.set_recorded(co_await waitFor(Waiter) == Durability::Stored);
   co_return Reply;
@@ -321,9 +321,9 @@
   wire::CancelReply Reply;
   {
     std::lock_guard Lock(Mutex);
-    if (!mayChange())
+    if (!mayModifyState())
       co_return Reply; // the home shard asks again
-    carryOut(onCancelParts(State, Keys, Tools.Time.Wall()));
+    execute(onCancelTasks(State, Keys, Tools.Time.Wall()));
   }
   Reply.set_done(true);
   co_return Reply;
@@ -332,19 +332,19 @@
 wire::HoldReply ShardRunner::onHold(const wire::HoldRequest &Request) {
   wire::HoldReply Reply;
   std::lock_guard Lock(Mutex);
-  if (!mayChange())
+  if (!mayModifyState())
     return Reply;
-  releaseHold(State, Request.spec().id());
+  releaseHeldCapacity(State, Request.spec().id());
   if (Request.release() || Draining)
     return Reply;
-  Reply.set_held(placeHold(State, specFromWire(Request.spec()), Request.count(), *Tools.Config(),
-                           Tools.Time.Now() + Milliseconds(Request.valid_ms())));
+  Reply.set_held(holdCapacity(State, specFromWire(Request.spec()), Request.count(), *Tools.Config(),
+                              Tools.Time.Now() + Milliseconds(Request.valid_ms())));
   return Reply;
 }
 
 // Tries to get room for all tasks of a gang at once: holds on shard after shard, and lends only
 // if together they are enough. Holds lapse by themselves, so two gangs can't block each other.
-Awaitable<void> ShardRunner::tryGang(Self This, std::string Job) {
+Awaitable<void> ShardRunner::placeGang(Self This, std::string Job) {
   SpecPtr Spec;
   {
     std::lock_guard Lock(This->Mutex);
@@ -376,13 +376,13 @@
   const bool Enough = Spec && Left == 0 && This->mayAct();
   if (Enough) {
     std::lock_guard Lock(This->Mutex);
-    if (!This->mayChange())
+    if (!This->mayModifyState())
       co_return;
     const auto Chosen = [&](const JobSpec &Other, uint32_t Count) {
       const bool Whole = Other.Id == Job && Count == Other.Count;
       return Whole ? Held : std::vector<std::pair<uint32_t, uint32_t>>{};
     };
-    This->carryOut(lendOne(This->State, Job, Chosen, This->Tools.Time.Now()));
+    This->execute(lendOne(This->State, Job, Chosen, This->Tools.Time.Now()));
   }
   for (const auto &[Other, Count] : Held) {
     if (Enough)
@@ -394,7 +394,7 @@
     co_await This->Tools.Peers.Hold(This->ownerOf(Other), std::move(Release));
   }
   std::lock_guard Lock(This->Mutex);
-  This->GangsTrying.erase(Job);
+  This->GangsInPlacement.erase(Job);
 }
 
 } // namespace valveshelf
--- a/src/entry/shard_runner.cpp
+++ b/src/entry/shard_runner.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 // The effects of one decision, carried out at most once each.
-struct ShardRunner::DecisionDone {
+struct ShardRunner::PendingDecision {
   Self Owner;
   Decision What;
   DurableCallback Also;
@@ -36,7 +36,7 @@
 
 ShardRunner::ShardRunner(uint32_t Shard, uint64_t Epoch, ShardTools Tools)
     : Shard(Shard), Epoch(Epoch), Tools(std::move(Tools)),
-      Wake(asio::make_strand(this->Tools.Where)) {
+      TickTimer(asio::make_strand(this->Tools.Where)) {
   State.Id = Shard;
 }
 
@@ -62,7 +62,7 @@
 
 void ShardRunner::resume() {
   std::lock_guard Lock(Mutex);
-  WrittenDown = false;
+  HandedOver = false;
   Draining = false;
 }
 
@@ -75,7 +75,7 @@
   std::vector<wire::Record> Written;
   {
     std::lock_guard Lock(Mutex);
-    WrittenDown = true;
+    HandedOver = true;
     Written = snapshotOf(State);
   }
   // What was decided before is durable and carried out here before the shard goes.
@@ -88,7 +88,7 @@
   Tools.Log.append(snapshotOf(State), std::move(WhenDurable));
 }
 
-void ShardRunner::notify(const std::vector<Notice> &Notices) {
+void ShardRunner::logNotices(const std::vector<Notice> &Notices) {
   const std::string Number = std::to_string(Shard);
   for (const Notice &What : Notices)
     logEvent(*What.Kind,
@@ -96,8 +96,8 @@
 }
 
 // Called under Mutex, so that records reach the journal in the order they were applied.
-void ShardRunner::carryOut(Decision What, DurableCallback Also) {
-  if (!mayChange()) {
+void ShardRunner::execute(Decision What, DurableCallback Also) {
+  if (!mayModifyState()) {
     if (Also)
       Also(Durability::Lost);
     return;
@@ -105,12 +105,12 @@
   const bool Nothing = What.Records.empty() && What.Starts.empty() && What.Controls.empty() &&
                        What.Forgets.empty() && What.Lends.empty() && What.Cancels.empty();
   if (Nothing && !Also)
-    return notify(What.Notices);
+    return logNotices(What.Notices);
   // Nearly everything that changes the state gives the next tick something to do.
   if (!What.Records.empty() || !What.Notices.empty())
-    poke();
+    requestTick();
   StartsInFlight += static_cast<int>(What.Starts.size());
-  auto Done = std::make_shared<DecisionDone>();
+  auto Done = std::make_shared<PendingDecision>();
   Done->Owner = shared_from_this();
   std::vector<wire::Record> Records = std::move(What.Records);
   Done->What = std::move(What);
@@ -120,7 +120,7 @@
   Tools.Log.append(std::move(Records), [this, Done](Durability Value) { onDurable(Done, Value); });
 }
 
-void ShardRunner::onDurable(std::shared_ptr<DecisionDone> Done, Durability Value) {
+void ShardRunner::onDurable(std::shared_ptr<PendingDecision> Done, Durability Value) {
   if (Value == Durability::Lost) {
     StartsInFlight -= static_cast<int>(Done->What.Starts.size());
     if (Done->Also)
@@ -146,7 +146,7 @@
   if (Done->Also)
     Done->Also(Value);
   if (Value == Durability::Stored)
-    releaseEnded(Done->What.Forgets);
+    queueForgets(Done->What.Forgets);
   if (!DoRest)
     return;
   for (const ControlEffect &Control : Done->What.Controls)
@@ -155,18 +155,18 @@
     spawnLater(Tools.Where, sendLend(shared_from_this(), Lend));
   for (const CancelEffect &Cancel : Done->What.Cancels)
     spawnLater(Tools.Where, sendCancel(shared_from_this(), Cancel));
-  notify(Done->What.Notices);
+  logNotices(Done->What.Notices);
 }
 
 // Lets workers forget ended tasks, once the store has their ends.
-void ShardRunner::releaseEnded(const std::vector<ForgetEffect> &Ended) {
+void ShardRunner::queueForgets(const std::vector<ForgetEffect> &Ended) {
   if (Ended.empty())
     return;
   // A decision without records comes here under Mutex, one with records does not.
   asio::post(Tools.Where, [This = shared_from_this(), Ended] {
     std::lock_guard Lock(This->Mutex);
     for (const ForgetEffect &Effect : Ended)
-      This->Forget[Effect.Worker].push_back(Effect.TaskId);
+      This->PendingForgets[Effect.Worker].push_back(Effect.TaskId);
   });
 }
 
@@ -181,17 +181,17 @@
   // Counted until its answer is part of the state: a drain waits for it.
   std::lock_guard Lock(This->Mutex);
   --This->StartsInFlight;
-  if (!This->mayChange())
+  if (!This->mayModifyState())
     co_return;
-  This->carryOut(onStartAnswer(This->State, Effect.Key, Effect.Attempt, Answer, Tools.Limits,
-                               Tools.Time.Now()));
+  This->execute(onStartAnswer(This->State, Effect.Key, Effect.Attempt, Answer, Tools.Limits,
+                              Tools.Time.Now()));
 }
 
 Awaitable<void> ShardRunner::sendControl(Self This, ControlEffect Effect) {
   if (!This->mayAct())
     co_return;
   const WorkerOps &Workers = This->Tools.Workers;
-  if (Effect.What == ControlEffect::Action::Throttle)
+  if (Effect.Kind == ControlEffect::Action::Throttle)
     co_await Workers.Throttle(Effect.Address, Effect.TaskId);
   else
     co_await Workers.Stop(Effect.Address, Effect.TaskId);
@@ -220,7 +220,8 @@
   if (!ok(Reply) || !value(Reply).adopted())
     co_return;
   std::lock_guard Lock(This->Mutex);
-  if (This->mayChange()) // otherwise it is lent again, which the other shard takes for the same
+  if (This->mayModifyState()) // otherwise it is lent again, which the other shard takes for the
+                              // same
     onAdopted(This->State, Effect);
 }
 
@@ -242,7 +243,7 @@
   std::map<uint32_t, wire::ReportRequest> Due;
   {
     std::lock_guard Lock(This->Mutex);
-    Due = reportsDue(This->State, std::exchange(This->ReportAgain, false));
+    Due = pendingReports(This->State, std::exchange(This->ResendReports, false));
     This->enterStage(ReportStage::Journal);
   }
   Durability Told = Durability::Lost;
@@ -262,13 +263,13 @@
         continue;
       std::vector<TaskKey> Settled;
       for (const wire::PartStatus &Status : Request.status()) {
-        const auto Phase = static_cast<PartPhase>(Status.phase());
-        if (Phase == PartPhase::Ended || Phase == PartPhase::Returned)
+        const auto Phase = static_cast<AssignedPhase>(Status.phase());
+        if (Phase == AssignedPhase::Ended || Phase == AssignedPhase::Returned)
           Settled.push_back({Status.key().job(), Status.key().index()});
       }
       std::lock_guard Lock(This->Mutex);
-      if (This->mayChange()) // otherwise they are reported again
-        This->carryOut(dropParts(This->State, Settled, This->Tools.Time.Now()));
+      if (This->mayModifyState()) // otherwise they are reported again
+        This->execute(dropTasks(This->State, Settled, This->Tools.Time.Now()));
     }
   }
   std::lock_guard Lock(This->Mutex);
@@ -289,72 +290,72 @@
     return;
   std::lock_guard Lock(Mutex);
   // Read under the lock: a drain counts on no start being decided after its own look.
-  if (Draining || !mayChange())
+  if (Draining || !mayModifyState())
     return;
   const auto Elsewhere = [&](const std::string &Key) {
     return Tools.Directory.usedElsewhere(Key, Shard);
   };
-  carryOut(placeQueued(State, *Config, Tools.Log.storeUp(), Elsewhere, Tools.Limits, Now, Wall));
+  execute(placeQueued(State, *Config, Tools.Log.storeUp(), Elsewhere, Tools.Limits, Now, Wall));
   const bool Slow = Now - LastSlowTick >= SlowTickEvery;
-  ReportAgain = ReportAgain || Slow;
+  ResendReports = ResendReports || Slow;
   if (Stage == ReportStage::None && (Slow || !State.Dirty.empty())) {
     enterStage(ReportStage::Journal);
     spawnLater(Tools.Where, sendReports(shared_from_this()));
   }
   const auto Choose = [&](const JobSpec &Spec, uint32_t Count) {
     if (Spec.Kind == JobKind::Gang && Spec.Count == Count) {
-      if (GangsTrying.insert(Spec.Id).second)
-        spawnLater(Tools.Where, tryGang(shared_from_this(), Spec.Id));
+      if (GangsInPlacement.insert(Spec.Id).second)
+        spawnLater(Tools.Where, placeGang(shared_from_this(), Spec.Id));
       return std::vector<std::pair<uint32_t, uint32_t>>{};
     }
     const PlacementConfig Weights = placementOf(*Config, Spec.Partner);
-    return Tools.Directory.choose(Spec, Count, Weights.Pack > Weights.Spread, Now);
+    return Tools.Directory.chooseShards(Spec, Count, Weights.Pack > Weights.Spread, Now);
   };
-  carryOut(lendWaiting(State, Choose, Slow, Tools.Limits, Now));
+  execute(lendWaiting(State, Choose, Slow, Tools.Limits, Now));
   if (!Slow)
     return;
   LastSlowTick = Now;
   if (Now - LastForget >= ForgetEvery) {
     LastForget = Now;
-    carryOut(forgetEnded(State, Tools.Limits, Now, Wall));
+    execute(forgetEndedJobs(State, Tools.Limits, Now, Wall));
   }
   const auto RoomElsewhere = [&](const JobSpec &Spec) {
-    return Tools.Directory.roomElsewhere(Spec, Shard, Now);
+    return Tools.Directory.hasRoomElsewhere(Spec, Shard, Now);
   };
-  carryOut(onTick(State, Tools.Limits, RoomElsewhere, Now, Wall));
+  execute(onTick(State, Tools.Limits, RoomElsewhere, Now, Wall));
   Decision Cancels;
-  Cancels.Cancels = cancelsDue(State);
-  carryOut(std::move(Cancels));
+  Cancels.Cancels = pendingCancels(State);
+  execute(std::move(Cancels));
 }
 
 // Asks for a tick soon.
-void ShardRunner::poke() {
-  if (Poked.exchange(true))
+void ShardRunner::requestTick() {
+  if (TickRequested.exchange(true))
     return;
-  asio::post(Wake.get_executor(), [This = shared_from_this()] { This->Wake.cancel(); });
+  asio::post(TickTimer.get_executor(), [This = shared_from_this()] { This->TickTimer.cancel(); });
 }
 
 Awaitable<void> ShardRunner::tickLoop(Self This) {
   while (!This->Stopped) {
-    This->Poked = false;
+    This->TickRequested = false;
     This->tick();
     co_await sleepFor(TickAtMostEvery);
-    if (This->Poked)
+    if (This->TickRequested)
       continue;
-    co_await asio::post(This->Wake.get_executor(), asio::use_awaitable);
-    This->Wake.expires_after(This->Poked ? Milliseconds(0) : TickAtLeastEvery);
-    co_await This->Wake.async_wait(asio::as_tuple(asio::use_awaitable));
+    co_await asio::post(This->TickTimer.get_executor(), asio::use_awaitable);
+    This->TickTimer.expires_after(This->TickRequested ? Milliseconds(0) : TickAtLeastEvery);
+    co_await This->TickTimer.async_wait(asio::as_tuple(asio::use_awaitable));
   }
 }
 
-void ShardRunner::takeBoxes() {
+void ShardRunner::syncBoxes() {
   const BoxList Workers = Tools.Directory.workersOf(Shard);
   std::lock_guard Lock(Mutex);
-  if (!mayAct() || !mayChange())
+  if (!mayAct() || !mayModifyState())
     return;
-  carryOut(onBoxList(State, Workers, Tools.Time.Now(), Tools.Time.Wall()));
+  execute(onBoxList(State, Workers, Tools.Time.Now(), Tools.Time.Wall()));
   for (const auto &[Name, Book] : State.Workers)
-    if (Book->Health != WorkerHealth::Gone && Looping.insert(Name).second)
+    if (Book->Health != WorkerHealth::Gone && PolledWorkers.insert(Name).second)
       spawnLater(Tools.Where, workerLoop(shared_from_this(), Name));
 }
 
@@ -362,7 +363,7 @@
   while (!This->Stopped) {
     // An empty list is taken for one that was not read yet.
     if (!This->Tools.Directory.boxes()->empty())
-      This->takeBoxes();
+      This->syncBoxes();
     co_await sleepFor(BoxLookEvery);
   }
 }
@@ -371,19 +372,19 @@
   WorkerSync Sync;
   const bool MayAct = mayAct();
   std::lock_guard Lock(Mutex);
-  const WorkerBook &Book = *State.Workers.at(Worker);
+  const WorkerState &Book = *State.Workers.at(Worker);
   // After a call that was not answered, the next renews nothing; see onWorkerSilent.
   const bool Renew = MayAct && Book.FailedCalls == 0;
   Sync.Wait = Tools.Times.WorkerPoll;
   Sync.After = ListVersions[Worker];
-  Sync.Forget = std::exchange(Forget[Worker], {});
+  Sync.Forget = std::exchange(PendingForgets[Worker], {});
   if (Renew)
     Sync.RenewFor = Tools.Times.TaskLease;
-  for (const TaskKey &Key : Book.Parts) {
-    const Part &Task = State.Parts.at(Key);
+  for (const TaskKey &Key : Book.AssignedTasks) {
+    const AssignedTask &Task = State.AssignedTasks.at(Key);
     if (Renew)
       Sync.Renew.push_back(workerTaskId(Key, Task.Attempt));
-    if (Task.Doubt != StartDoubt::None)
+    if (Task.Uncertainty != StartUncertainty::None)
       Sync.Wait = std::min(Sync.Wait, DoubtWait);
   }
   if (Book.Health != WorkerHealth::Ready || Book.FailedCalls > 0)
@@ -397,19 +398,19 @@
   const bool MayAct = mayAct();
   std::lock_guard Lock(Mutex);
   if (!ok(Answer)) {
-    auto &Again = Forget[Worker];
+    auto &Again = PendingForgets[Worker];
     Again.insert(Again.end(), Sent.Forget.begin(), Sent.Forget.end());
     ListVersions[Worker] = 0;
-    if (!mayChange())
+    if (!mayModifyState())
       return;
-    return carryOut(onWorkerSilent(State, Worker, Sent.RenewFor.count() > 0, Tools.Limits));
+    return execute(onWorkerCallFailed(State, Worker, Sent.RenewFor.count() > 0, Tools.Limits));
   }
   // A process that lost its authority meanwhile, or slept, judges nothing by an old list.
-  if (!MayAct || !mayChange() || Now - AskedAt > Tools.Times.Lease + Tools.Times.WorkerPoll)
+  if (!MayAct || !mayModifyState() || Now - AskedAt > Tools.Times.Lease + Tools.Times.WorkerPoll)
     return;
   ListVersions[Worker] = value(Answer).Version;
-  carryOut(onWorkerReport(State, Worker, value(Answer), Sent.RenewFor.count() > 0, Tools.Limits,
-                          AskedAt, Now, Tools.Time.Wall()));
+  execute(onWorkerReport(State, Worker, value(Answer), Sent.RenewFor.count() > 0, Tools.Limits,
+                         AskedAt, Now, Tools.Time.Wall()));
 }
 
 Awaitable<void> ShardRunner::workerLoop(Self This, std::string Worker) {
@@ -418,9 +419,9 @@
     Endpoint Address;
     {
       std::lock_guard Lock(This->Mutex);
-      const WorkerBook &Book = *This->State.Workers.at(Worker);
+      const WorkerState &Book = *This->State.Workers.at(Worker);
       if (Book.Health == WorkerHealth::Gone) {
-        This->Looping.erase(Worker);
+        This->PolledWorkers.erase(Worker);
         co_return;
       }
       Address = Book.Box.Address;
@@ -435,9 +436,9 @@
   }
 }
 
-bool ShardRunner::notePredecessorGone() {
+bool ShardRunner::markPredecessorGone() {
   std::lock_guard Lock(Mutex);
-  if (!mayChange())
+  if (!mayModifyState())
     return false;
   onPredecessorGone(State, Tools.Limits, Tools.Time.Now());
   logEvent(events::StepDownConfirmed, {{"shard", std::to_string(Shard)}, {"log", Predecessor}});
@@ -457,7 +458,7 @@
           co_await This->Tools.Peers.StepDown(This->PredecessorAddress, Request);
       Gone = ok(Reply) && value(Reply).gone();
     }
-    if (Gone && This->notePredecessorGone())
+    if (Gone && This->markPredecessorGone())
       co_return;
     co_await sleepFor(PredecessorProbeEvery);
   }
@@ -472,7 +473,7 @@
   Resources Free;
   Resources Largest;
   uint32_t Usable = 0;
-  for (const WorkerRoom &Room : State.Rooms) {
+  for (const PlacementCandidate &Room : State.Candidates) {
     if (!Room.Usable)
       continue;
     ++Usable;
@@ -491,24 +492,24 @@
   return Summary;
 }
 
-ShardFigures ShardRunner::figures() {
+ShardStats ShardRunner::stats() {
   std::lock_guard Lock(Mutex);
-  ShardFigures Figures;
+  ShardStats Figures;
   Figures.Starts = State.Starts;
   Figures.Jobs = State.Jobs.size();
-  Figures.Parts = State.Parts.size();
+  Figures.AssignedTasks = State.AssignedTasks.size();
   Figures.Queued = State.Queue.size();
   Figures.Workers = State.Workers.size();
-  for (const auto &[Key, Task] : State.Parts) {
-    Figures.Running += Task.Phase == PartPhase::Running ? 1 : 0;
-    const bool Over = Task.Phase == PartPhase::Ended || Task.Phase == PartPhase::Returned;
+  for (const auto &[Key, Task] : State.AssignedTasks) {
+    Figures.Running += Task.Phase == AssignedPhase::Running ? 1 : 0;
+    const bool Over = Task.Phase == AssignedPhase::Ended || Task.Phase == AssignedPhase::Returned;
     Figures.Unreported += Over ? 1 : 0;
   }
   Figures.StartsInFlight = StartsInFlight;
   Figures.Draining = Draining;
   Figures.Stage = Stage;
   if (Stage != ReportStage::None)
-    Figures.InStage = std::chrono::duration_cast<Milliseconds>(Tools.Time.Now() - StageSince);
+    Figures.TimeInStage = std::chrono::duration_cast<Milliseconds>(Tools.Time.Now() - StageSince);
   for (const auto &[Name, Book] : State.Workers)
     Figures.WorkersReady += Book->Health == WorkerHealth::Ready ? 1 : 0;
   return Figures;
--- a/src/entry/shard_runner_test.cpp
+++ b/src/entry/shard_runner_test.cpp
@@ -69,7 +69,7 @@
     wire::ReportRequest Report;
     wire::PartStatus *Status = Report.add_status();
     Status->mutable_key()->set_job("job-69");
-    Status->set_phase(static_cast<uint32_t>(PartPhase::Ended));
+    Status->set_phase(static_cast<uint32_t>(AssignedPhase::Ended));
     return wait(Runner->onReportReceived(Report)).recorded();
   }
 
--- a/src/include/valveshelf/router.h
+++ b/src/include/valveshelf/router.h
@@ -6,7 +6,7 @@
 #include "valveshelf/http.h"
 #include "valveshelf/membership.h"
 #include "valveshelf/shard_directory.h"
-#include "valveshelf/slot_book.h"
+#include "valveshelf/slot_table.h"
 
 #include <atomic>
 #include <memory>
@@ -15,8 +15,8 @@
 namespace valveshelf {
 
 /// Counters for metrics.
-struct RouterFigures {
-  std::atomic<uint64_t> Served{0}, Refused{0}, Retried{0}, Cut{0};
+struct RouterStats {
+  std::atomic<uint64_t> Served{0}, Refused{0}, Retried{0}, Truncated{0};
 };
 
 /// What the router works with. Everything outlives it.
@@ -37,11 +37,11 @@
   explicit Router(RouterTools Tools);
   /// Serves one request under `/svc/`.
   Awaitable<void> serve(HttpExchange &Exchange);
-  const RouterFigures &figures() const { return Figures; }
+  const RouterStats &stats() const { return Stats; }
   /// Takes in changes of boxes, members and configuration. Called every fraction of a second.
   void refresh();
   /// This process has joined the cell and takes its share of the slots from now on.
-  void joined();
+  void onJoined();
   /// True once that share can be used, so that requests are welcome.
   bool ready();
 
@@ -50,33 +50,34 @@
     RouteConfig Route;
     ServiceConfig Service;
   };
-  struct Attempt;
+  struct RequestState;
   /// Why a request gets no slot, and when asking again is of use.
-  struct NoSlot {
+  struct SlotRefusal {
     Error Why;
     std::chrono::seconds RetryAfter{};
   };
   /// A member whose lease is gone. It may go on by its peers' promises for a while.
-  struct Vanished {
+  struct DepartedMember {
     std::string Log;
     TimePoint Since{};
   };
   std::vector<std::string> slotHolders(const CellView &View, TimePoint Now);
   Result<Target> match(const HttpExchange &Exchange) const;
   bool knowsInstances(const std::string &Service);
-  std::optional<NoSlot> refusal(const Target &To, TimePoint Deadline, TimePoint Now) const;
-  Awaitable<std::variant<SlotGrant, NoSlot>> acquire(const Target &To, TimePoint Deadline,
-                                                     const std::string &Avoid);
-  Awaitable<bool> attempt(HttpExchange &Exchange, const SlotGrant &Slot, TimePoint Deadline,
-                          Attempt &State);
+  std::optional<SlotRefusal> refusal(const Target &To, TimePoint Deadline, TimePoint Now) const;
+  Awaitable<std::variant<SlotGrant, SlotRefusal>> acquire(const Target &To, TimePoint Deadline,
+                                                          const std::string &Avoid);
+  Awaitable<bool> tryInstance(HttpExchange &Exchange, const SlotGrant &Slot, TimePoint Deadline,
+                              RequestState &State);
 
   const RouterTools Tools;
-  RouterFigures Figures;
+  RouterStats Stats;
   std::mutex Mutex;
-  SlotBook Slots;                       ///< Guarded by Mutex.
-  std::map<std::string, Vanished> Away; ///< Members that left the view, by name. Guarded by Mutex.
+  SlotTable Slots; ///< Guarded by Mutex.
+  std::map<std::string, DepartedMember>
+      DepartedMembers; ///< Members that left the view, by name. Guarded by Mutex.
   std::map<std::string, std::string>
-      LastSeen; ///< Members by name, with their journals. Guarded by Mutex.
+      LastMembers; ///< Members by name, with their journals. Guarded by Mutex.
 };
 
 } // namespace valveshelf
--- a/src/include/valveshelf/shard_decisions.h
+++ b/src/include/valveshelf/shard_decisions.h
@@ -30,7 +30,7 @@
   std::string Worker;
   Endpoint Address;
   std::string TaskId;
-  Action What = Action::Stop;
+  Action Kind = Action::Stop;
 };
 
 /// Tells a worker that it may forget an ended task, once the records are durable.
@@ -74,17 +74,18 @@
 /// Times and limits of the decisions.
 struct DecisionLimits {
   Milliseconds TaskLease{60000};
-  Milliseconds Settle{2000}; ///< How long after the last possible send a list counts as proof.
+  Milliseconds SettleTime{2000}; ///< How long after the last possible send a list counts as proof.
   Milliseconds LeaseMargin{1000};
-  Milliseconds ReturnAfter{1500}; ///< A task that finds no room for so long goes back to its home.
-  Milliseconds ResendAfter{1000};
-  Milliseconds ProbeEvery{5000};
-  Milliseconds TombstoneLife{600000};
-  int FailedCallsToLose = 2;
-  int FailuresToSuspect = 3;
-  size_t StartsPerRound = 512;
-  size_t ScannedPerRound = 4096;    ///< Queued tasks looked at in one round.
-  std::chrono::hours KeepEnded{24}; ///< How long `status` knows a job after its end.
+  Milliseconds ReturnTimeout{
+      1500}; ///< A task that finds no room for so long goes back to its home.
+  Milliseconds ResendInterval{1000};
+  Milliseconds ProbeInterval{5000};
+  Milliseconds TombstoneRetention{600000};
+  int FailedCallsUntilLost = 2;
+  int FailuresUntilSuspect = 3;
+  size_t MaxStartsPerRound = 512;
+  size_t MaxScannedPerRound = 4096;         ///< Queued tasks looked at in one round.
+  std::chrono::hours EndedJobRetention{24}; ///< How long `status` knows a job after its end.
 };
 
 /// The worker's name for one attempt: `job/index#attempt`.
@@ -95,7 +96,7 @@
 // ---- The running shard.
 
 /// Takes lent tasks in. Tasks that it has already, or that are late duplicates, are passed over.
-Decision adoptParts(ShardState &State, const wire::LendRequest &Lend, TimePoint Now);
+Decision adoptTasks(ShardState &State, const wire::LendRequest &Lend, TimePoint Now);
 
 /// What a team or partner ("partner/team" or "partner") has booked on other shards, as last heard.
 using UsedElsewhere = std::function<Resources(const std::string &Key)>;
@@ -124,7 +125,7 @@
 /// One task as a worker lists it.
 struct TaskReport {
   std::string Id;
-  enum class State { Running, Succeeded, Failed, Stopped } What = State::Running;
+  enum class State { Running, Succeeded, Failed, Stopped } Status = State::Running;
   std::string Detail;
   Resources Size;
   Resources Usage;
@@ -142,8 +143,8 @@
                         TimePoint Now, WallTime Wall);
 
 /// A call to the worker failed. With \p Renewed it may have renewed leases, now or later.
-Decision onWorkerSilent(ShardState &State, const std::string &Worker, bool Renewed,
-                        const DecisionLimits &Limits);
+Decision onWorkerCallFailed(ShardState &State, const std::string &Worker, bool Renewed,
+                            const DecisionLimits &Limits);
 
 /// Takes in the box list: new, changed, leaving and vanished workers of this shard.
 Decision onBoxList(ShardState &State, const BoxList &Workers, TimePoint Now, WallTime Wall);
@@ -155,16 +156,16 @@
                 WallTime Wall);
 
 /// The home shard wants the tasks cancelled.
-Decision onCancelParts(ShardState &State, const std::vector<TaskKey> &Keys, WallTime Wall);
+Decision onCancelTasks(ShardState &State, const std::vector<TaskKey> &Keys, WallTime Wall);
 
 /// The home shard has recorded these ends or returns.
-Decision dropParts(ShardState &State, const std::vector<TaskKey> &Keys, TimePoint Now);
+Decision dropTasks(ShardState &State, const std::vector<TaskKey> &Keys, TimePoint Now);
 
-/// Holds room for up to \p Count tasks of a gang until \p Lapses. Returns for how many.
-uint32_t placeHold(ShardState &State, const JobSpec &Spec, uint32_t Count, const CellConfig &Config,
-                   TimePoint Lapses);
+/// Holds room for up to \p Count tasks of a gang until \p ExpiresAt. Returns for how many.
+uint32_t holdCapacity(ShardState &State, const JobSpec &Spec, uint32_t Count,
+                      const CellConfig &Config, TimePoint ExpiresAt);
 /// Gives the room held for \p Job free.
-void releaseHold(ShardState &State, const std::string &Job);
+void releaseHeldCapacity(ShardState &State, const std::string &Job);
 
 /// The predecessor surely sends nothing any more.
 void onPredecessorGone(ShardState &State, const DecisionLimits &Limits, TimePoint Now);
@@ -174,9 +175,9 @@
 void markTakenOver(ShardState &State, bool PredecessorGone, const DecisionLimits &Limits,
                    TimePoint Now);
 
-/// The parts whose home should hear of a change, by home shard. With \p Again also those whose
+/// The parts whose home should hear of a change, by home shard. With \p Resend also those whose
 /// end or return was told and not yet acknowledged.
-std::map<uint32_t, wire::ReportRequest> reportsDue(ShardState &State, bool Again);
+std::map<uint32_t, wire::ReportRequest> pendingReports(ShardState &State, bool Resend);
 
 // ---- The home shard.
 
@@ -188,12 +189,13 @@
 using ShardChooser =
     std::function<std::vector<std::pair<uint32_t, uint32_t>>(const JobSpec &, uint32_t Count)>;
 
-/// Lends out waiting tasks; with \p Again also sends again what was not answered.
-Decision lendWaiting(ShardState &State, const ShardChooser &Choose, bool Again,
+/// Lends out waiting tasks; with \p Resend also sends again what was not answered.
+Decision lendWaiting(ShardState &State, const ShardChooser &Choose, bool Resend,
                      const DecisionLimits &Limits, TimePoint Now);
 
 /// Forgets jobs that ended long ago.
-Decision forgetEnded(ShardState &State, const DecisionLimits &Limits, TimePoint Now, WallTime Wall);
+Decision forgetEndedJobs(ShardState &State, const DecisionLimits &Limits, TimePoint Now,
+                         WallTime Wall);
 
 /// As `lendWaiting`, for one job whose room is known.
 Decision lendOne(ShardState &State, const std::string &Job, const ShardChooser &Choose,
@@ -211,7 +213,7 @@
 Decision cancelJob(ShardState &State, const std::string &Job);
 
 /// Cancels that running shards have not carried out yet.
-std::vector<CancelEffect> cancelsDue(const ShardState &State);
+std::vector<CancelEffect> pendingCancels(const ShardState &State);
 
 // ---- Explanations.
 
--- a/src/include/valveshelf/shard_runner.h
+++ b/src/include/valveshelf/shard_runner.h
@@ -42,14 +42,14 @@
 };
 
 /// Counters for metrics and reports.
-struct ShardFigures {
+struct ShardStats {
   uint64_t Starts = 0;
-  size_t Jobs = 0, Parts = 0, Queued = 0, Running = 0, Workers = 0, WorkersReady = 0;
+  size_t Jobs = 0, AssignedTasks = 0, Queued = 0, Running = 0, Workers = 0, WorkersReady = 0;
   size_t Unreported = 0; ///< Parts that have ended or go back, of which their homes are not told.
   int StartsInFlight = 0;
   bool Draining = false;
   ReportStage Stage = ReportStage::None;
-  Milliseconds InStage{0}; ///< Since when.
+  Milliseconds TimeInStage{0}; ///< Since when.
 };
 
 /// Safe from any thread. Use through a shared pointer: its loops keep it alive until they end.
@@ -77,7 +77,7 @@
   /// Appends the records that rebuild the shard to the journal, in order with all others.
   void appendSnapshot(DurableCallback WhenDurable);
   wire::ShardSummary summary();
-  ShardFigures figures();
+  ShardStats stats();
 
   // Callers' operations, all at the home shard. The bodies are JSON.
   Awaitable<Result<std::string>> submit(std::string Json);
@@ -97,16 +97,16 @@
 
 private:
   using Self = std::shared_ptr<ShardRunner>;
-  struct DecisionDone;
+  struct PendingDecision;
 
-  void carryOut(Decision What, DurableCallback Also = {});
-  void onDurable(std::shared_ptr<DecisionDone> Done, Durability Value);
-  void releaseEnded(const std::vector<ForgetEffect> &Ended);
-  void notify(const std::vector<Notice> &Notices);
+  void execute(Decision What, DurableCallback Also = {});
+  void onDurable(std::shared_ptr<PendingDecision> Done, Durability Value);
+  void queueForgets(const std::vector<ForgetEffect> &Ended);
+  void logNotices(const std::vector<Notice> &Notices);
   bool mayAct();
   /// True while the state may change: not once it was written down for the next owner, which would
   /// not hear of it. Call under Mutex, and change the state under the same lock.
-  bool mayChange() const { return !Stopped && !WrittenDown; }
+  bool mayModifyState() const { return !Stopped && !HandedOver; }
 
   static Awaitable<void> tickLoop(Self This);
   static Awaitable<void> workerLoop(Self This, std::string Worker);
@@ -117,24 +117,24 @@
   static Awaitable<void> sendLend(Self This, LendEffect Effect);
   static Awaitable<void> sendCancel(Self This, CancelEffect Effect);
   static Awaitable<void> sendReports(Self This);
-  static Awaitable<void> tryGang(Self This, std::string Job);
+  static Awaitable<void> placeGang(Self This, std::string Job);
 
   void tick();
   void enterStage(ReportStage Next);
-  void poke();
-  void takeBoxes();
+  void requestTick();
+  void syncBoxes();
   WorkerSync nextSync(const std::string &Worker);
   void onSynced(const std::string &Worker, const WorkerSync &Sent,
                 const Result<WorkerReport> &Answer, TimePoint AskedAt);
   Endpoint ownerOf(uint32_t Other);
   /// False: the state may not change now.
-  bool notePredecessorGone();
+  bool markPredecessorGone();
 
   const uint32_t Shard;
   const uint64_t Epoch;
   const ShardTools Tools;
-  SteadyTimer Wake; ///< Of the tick loop; used on its strand only.
-  std::atomic<bool> Poked{false};
+  SteadyTimer TickTimer; ///< Of the tick loop; used on its strand only.
+  std::atomic<bool> TickRequested{false};
   std::atomic<bool> Stopped{false};
   std::atomic<bool> Draining{false};
   std::atomic<int> StartsInFlight{0};
@@ -144,14 +144,15 @@
   std::mutex Mutex;
   // All below is guarded by Mutex.
   ShardState State;
-  bool WrittenDown = false; ///< The state was given to the next owner.
-  std::map<std::string, std::vector<std::string>> Forget; ///< By worker: ended tasks, durable.
-  std::map<std::string, uint64_t> ListVersions;           ///< By worker.
-  std::set<std::string> Looping;                          ///< Workers with a loop.
-  std::set<std::string> GangsTrying;
+  bool HandedOver = false; ///< The state was given to the next owner.
+  std::map<std::string, std::vector<std::string>>
+      PendingForgets;                           ///< By worker: ended tasks, durable.
+  std::map<std::string, uint64_t> ListVersions; ///< By worker.
+  std::set<std::string> PolledWorkers;          ///< Workers with a loop.
+  std::set<std::string> GangsInPlacement;
   ReportStage Stage = ReportStage::None; ///< Other than None: a round of reports is under way.
   TimePoint StageSince{};
-  bool ReportAgain = true; ///< Ends and returns are told again in the next report.
+  bool ResendReports = true; ///< Ends and returns are told again in the next report.
   TimePoint LastForget{};
   TimePoint LastSlowTick{};
 };
--- a/src/include/valveshelf/shard_state.h
+++ b/src/include/valveshelf/shard_state.h
@@ -32,9 +32,9 @@
   std::string Detail;
   WallTime Ended{};
   // Not durable from here on.
-  bool Adopted = false; ///< The running shard has it durably.
-  std::string Worker;   ///< Last worker reported, for `status`.
-  std::string Seen;     ///< Last phase reported, for `status`.
+  bool Adopted = false;      ///< The running shard has it durably.
+  std::string Worker;        ///< Last worker reported, for `status`.
+  std::string ReportedPhase; ///< Last phase reported, for `status`.
   WallTime Started{};
   TimePoint NotBefore{}; ///< A service task that keeps ending is restarted with a pause.
   TimePoint LentAt{};
@@ -52,27 +52,27 @@
 };
 
 /// A task as the shard that runs it sees it.
-enum class PartPhase {
+enum class AssignedPhase {
   Queued,   ///< Holds no room.
   Starting, ///< The start is journalled; room is booked. It may run.
   Running,  ///< The worker confirmed it; room is booked.
   Ended,    ///< Waits for the home shard to record the end.
   Returned, ///< Waits for the home shard to take it back. Never started again here.
 };
-std::string_view phaseName(PartPhase Value);
+std::string_view phaseName(AssignedPhase Value);
 
 /// How sure the owner is about a start that is journalled.
-enum class StartDoubt {
+enum class StartUncertainty {
   None,        ///< Own start, in flight or answered.
   Unanswered,  ///< Own start whose answer was lost.
   Predecessor, ///< A predecessor's start, which may still be on its way.
 };
 
-struct Part {
+struct AssignedTask {
   TaskKey Key;
   SpecPtr Spec;
   uint32_t Home = 0;
-  PartPhase Phase = PartPhase::Queued;
+  AssignedPhase Phase = AssignedPhase::Queued;
   uint32_t Attempt = 1; ///< Next attempt when Queued, else the one intended. Grows only.
   uint32_t Tries = 0;   ///< Attempts that ran and failed.
   std::string Worker;   ///< Set exactly when room is booked.
@@ -81,17 +81,17 @@
   std::string Detail;
   WallTime Ended{};
   // Not durable from here on.
-  StartDoubt Doubt = StartDoubt::None;
+  StartUncertainty Uncertainty = StartUncertainty::None;
   bool CallInFlight = false; ///< The start call has not returned yet.
   bool CancelWanted = false;
   bool IntentDurable = false; ///< The store holds the intent.
-  TimePoint DoubtSince{};     ///< When the doubt could first be settled by a list.
-  int ListsWithout = 0;       ///< Lists since then that did not show it.
+  TimePoint UncertainSince{}; ///< When the doubt could first be settled by a list.
+  int ListsWithoutTask = 0;   ///< Lists since then that did not show it.
   TimePoint QueuedSince{};
   TimePoint LeaseEnds{}; ///< Latest time at which the worker's lease on it may end.
   WallTime Started{};
   Resources Usage;      ///< As last reported.
-  double Order = 0;     ///< Its key in the queue.
+  double QueueKey = 0;  ///< Its key in the queue.
   std::string FailedOn; ///< Where it failed last; avoided if there is another place.
 };
 
@@ -107,26 +107,27 @@
 std::string_view healthName(WorkerHealth Value);
 
 /// The capacity book of one worker.
-struct WorkerBook {
+struct WorkerState {
   BoxInfo Box;
   WorkerHealth Health = WorkerHealth::Unseen;
-  Resources Booked; ///< Sum of Part::Booked over Parts. Never above Box.Capacity by our doing.
-  std::set<TaskKey> Parts;
+  Resources
+      Booked; ///< Sum of AssignedTask::Booked over Parts. Never above Box.Capacity by our doing.
+  std::set<TaskKey> AssignedTasks;
   std::string Incarnation; ///< As the worker last told.
   int FailedCalls = 0;
   int RecentFailures = 0; ///< Tasks that failed on it since one ran well.
-  Resources Held;         ///< Room held for gangs.
-  Resources Orphans;      ///< Room taken by tasks the worker lists that are not ours.
+  Resources HeldForGangs; ///< Room held for gangs.
+  Resources OrphanUsage;  ///< Room taken by tasks the worker lists that are not ours.
   TimePoint LastAnswer{};
   TimePoint ProbeNotBefore{};
-  uint32_t Slot = 0; ///< Its place in ShardState::Free.
+  uint32_t CandidateIndex = 0; ///< Its place in ShardState::Free.
 };
 
 /// One worker's room, laid out for the scan of a placement decision.
-struct WorkerRoom {
+struct PlacementCandidate {
   Resources Free;
   Resources Capacity;
-  WorkerBook *Book = nullptr;
+  WorkerState *Worker = nullptr;
   bool Usable = false; ///< Ready, so that tasks may be placed.
 };
 
@@ -134,7 +135,7 @@
 struct GangHold {
   Resources Size;
   std::map<std::string, uint32_t> Workers; ///< Worker to tasks held there.
-  TimePoint Lapses{};
+  TimePoint ExpiresAt{};
 };
 
 /// What is left of a dropped part for a while: lends up to this attempt are late duplicates.
@@ -148,11 +149,11 @@
   std::unordered_map<std::string, HomeJob> Jobs;
   std::set<std::string> OpenJobs; ///< The jobs with a task that has not ended. Finished jobs stay
                                   ///< in Jobs for a while and are never scanned.
-  std::map<TaskKey, Part> Parts;
+  std::map<TaskKey, AssignedTask> AssignedTasks;
   std::set<TaskKey> Dirty; ///< Parts whose home has not been told of their last change.
-  std::map<std::string, std::unique_ptr<WorkerBook>> Workers;
-  std::vector<WorkerRoom> Rooms;              ///< Same workers as Workers, one each.
-  std::set<std::pair<double, TaskKey>> Queue; ///< The Queued parts, by Part::Order.
+  std::map<std::string, std::unique_ptr<WorkerState>> Workers;
+  std::vector<PlacementCandidate> Candidates; ///< Same workers as Workers, one each.
+  std::set<std::pair<double, TaskKey>> Queue; ///< The Queued parts, by AssignedTask::QueueKey.
   std::map<std::string, GangHold> Holds;      ///< By job.
   std::map<std::string, Resources> TeamUse;   ///< "partner/team" and "partner" to what is booked.
   std::unordered_map<std::string, std::vector<char>> SelectorCache; ///< Selector to match per room.
@@ -164,9 +165,9 @@
 /// The key of a job's team in ShardState::TeamUse.
 std::string teamKey(const JobSpec &Spec);
 
-/// Changes \p State as \p What says. Deterministic but for \p Now, which only sets waiting
+/// Changes \p State as \p Record says. Deterministic but for \p Now, which only sets waiting
 /// times. Records of an unknown job or task are ignored, so that replay never fails.
-void applyRecord(ShardState &State, const wire::Record &What, TimePoint Now);
+void applyRecord(ShardState &State, const wire::Record &Record, TimePoint Now);
 
 /// Records that rebuild the durable part of \p State from nothing, beginning with ShardReset.
 std::vector<wire::Record> snapshotOf(const ShardState &State);
@@ -174,11 +175,11 @@
 /// Adds the worker or takes over its changed description.
 void setWorker(ShardState &State, const BoxInfo &Box);
 /// Sets the health and what follows from it for placement.
-void setHealth(ShardState &State, WorkerBook &Book, WorkerHealth Health);
-/// Writes the free room of \p Book into the scan table.
-void refreshRoom(ShardState &State, WorkerBook &Book);
+void setHealth(ShardState &State, WorkerState &Worker, WorkerHealth Health);
+/// Writes the free room of \p Worker into the scan table.
+void refreshCandidate(ShardState &State, WorkerState &Worker);
 /// Books \p Size more for \p Key's part, when it uses more than it declared.
-void growBooking(ShardState &State, Part &Task, const Resources &Size);
+void increaseBooking(ShardState &State, AssignedTask &Task, const Resources &Size);
 
 JobSpec specFromWire(const wire::JobSpec &Wire);
 wire::JobSpec specToWire(const JobSpec &Spec);
--- a/src/jobs/decision_tools.h
+++ b/src/jobs/decision_tools.h
@@ -19,34 +19,35 @@
 public:
   Recorder(ShardState &State, Decision &Out, TimePoint Now) : State(State), Out(Out), Now(Now) {}
 
-  /// Applies and keeps \p What.
-  void add(wire::Record What) {
-    What.set_shard(State.Id);
-    applyRecord(State, What, Now);
-    Out.Records.push_back(std::move(What));
+  /// Applies and keeps \p NewRecord.
+  void add(wire::Record NewRecord) {
+    NewRecord.set_shard(State.Id);
+    applyRecord(State, NewRecord, Now);
+    Out.Records.push_back(std::move(NewRecord));
   }
 
-  void startVoid(const Part &Task, const std::string &Why, bool CountsAsTry) {
-    wire::Record What;
-    *What.mutable_start_void()->mutable_key() = wireKey(Task.Key);
-    What.mutable_start_void()->set_attempt(Task.Attempt);
-    What.mutable_start_void()->set_why(Why);
-    What.mutable_start_void()->set_counts_as_try(CountsAsTry);
+  void startVoid(const AssignedTask &Task, const std::string &Why, bool CountsAsTry) {
+    wire::Record NewRecord;
+    *NewRecord.mutable_start_void()->mutable_key() = wireKey(Task.Key);
+    NewRecord.mutable_start_void()->set_attempt(Task.Attempt);
+    NewRecord.mutable_start_void()->set_why(Why);
+    NewRecord.mutable_start_void()->set_counts_as_try(CountsAsTry);
     Out.Notices.push_back({&events::TaskRequeued, toString(Task.Key), Why});
-    add(std::move(What));
+    add(std::move(NewRecord));
   }
 
   /// \p Outcome None gives the task back to its home.
-  void partEnded(const Part &Task, TaskOutcome Outcome, const std::string &Detail, WallTime When) {
-    wire::Record What;
-    wire::PartEnded &Ended = *What.mutable_part_ended();
+  void taskEnded(const AssignedTask &Task, TaskOutcome Outcome, const std::string &Detail,
+                 WallTime When) {
+    wire::Record NewRecord;
+    wire::PartEnded &Ended = *NewRecord.mutable_part_ended();
     *Ended.mutable_key() = wireKey(Task.Key);
     Ended.set_outcome(static_cast<int>(Outcome));
     Ended.set_detail(Detail);
     Ended.set_ended_ms(When.time_since_epoch().count());
     if (Outcome == TaskOutcome::Unknown)
       Out.Notices.push_back({&events::TaskUnknown, toString(Task.Key), Detail});
-    add(std::move(What));
+    add(std::move(NewRecord));
   }
 
 private:
--- a/src/jobs/home_shard.cpp
+++ b/src/jobs/home_shard.cpp
@@ -23,7 +23,7 @@
   return Found;
 }
 
-LendEffect effectFor(const HomeJob &Job, uint32_t Shard, const std::vector<uint32_t> &Indexes) {
+LendEffect lendEffect(const HomeJob &Job, uint32_t Shard, const std::vector<uint32_t> &Indexes) {
   LendEffect Effect{Shard, Job.Spec, Indexes, {}};
   for (const uint32_t Index : Indexes)
     Effect.NextAttempts.push_back(Job.Tasks[Index].NextAttempt);
@@ -43,73 +43,74 @@
     Next = End;
     if (Chosen.empty())
       continue;
-    wire::Record What;
-    wire::TasksLent &Lent = *What.mutable_tasks_lent();
+    wire::Record NewRecord;
+    wire::TasksLent &Lent = *NewRecord.mutable_tasks_lent();
     Lent.set_job(Job.Spec->Id);
     Lent.set_shard(Shard);
     for (const uint32_t Index : Chosen)
       Lent.add_index(Index);
-    Recorder(State, Out, Now).add(std::move(What));
-    Out.Lends.push_back(effectFor(Job, Shard, Chosen));
+    Recorder(State, Out, Now).add(std::move(NewRecord));
+    Out.Lends.push_back(lendEffect(Job, Shard, Chosen));
   }
 }
 
-void lendAgain(Decision &Out, HomeJob &Job, const DecisionLimits &Limits, TimePoint Now) {
+void resendLends(Decision &Out, HomeJob &Job, const DecisionLimits &Limits, TimePoint Now) {
   std::map<uint32_t, std::vector<uint32_t>> Due;
   for (uint32_t I = 0; I < Job.Tasks.size(); ++I) {
     HomeTask &Task = Job.Tasks[I];
-    if (Task.Phase != HomePhase::Lent || Task.Adopted || Now - Task.LentAt < Limits.ResendAfter)
+    if (Task.Phase != HomePhase::Lent || Task.Adopted || Now - Task.LentAt < Limits.ResendInterval)
       continue;
     Task.LentAt = Now;
     Due[Task.Shard].push_back(I);
   }
   for (const auto &[Shard, Indexes] : Due)
-    Out.Lends.push_back(effectFor(Job, Shard, Indexes));
+    Out.Lends.push_back(lendEffect(Job, Shard, Indexes));
 }
 
 void reclaim(ShardState &State, Decision &Out, const wire::PartStatus &Status, TimePoint Now) {
-  wire::Record What;
-  wire::TasksReclaimed &Reclaimed = *What.mutable_tasks_reclaimed();
+  wire::Record NewRecord;
+  wire::TasksReclaimed &Reclaimed = *NewRecord.mutable_tasks_reclaimed();
   Reclaimed.set_job(Status.key().job());
   Reclaimed.add_index(Status.key().index());
   // Above every attempt that the shard knew, so that a late copy of the old lend is told apart.
   Reclaimed.add_next_attempt(Status.attempt() + 1);
-  Recorder(State, Out, Now).add(std::move(What));
+  Recorder(State, Out, Now).add(std::move(NewRecord));
 }
 
-void endAt(ShardState &State, Decision &Out, const TaskKey &Key, TaskOutcome Outcome,
-           const std::string &Detail, WallTime When, TimePoint Now) {
-  wire::Record What;
-  wire::TaskEnded &Ended = *What.mutable_task_ended();
+void recordTaskEnd(ShardState &State, Decision &Out, const TaskKey &Key, TaskOutcome Outcome,
+                   const std::string &Detail, WallTime When, TimePoint Now) {
+  wire::Record NewRecord;
+  wire::TaskEnded &Ended = *NewRecord.mutable_task_ended();
   *Ended.mutable_key() = wireKey(Key);
   Ended.set_outcome(static_cast<int>(Outcome));
   Ended.set_detail(Detail);
   Ended.set_ended_ms(When.time_since_epoch().count());
-  Recorder(State, Out, Now).add(std::move(What));
+  Recorder(State, Out, Now).add(std::move(NewRecord));
   Out.Notices.push_back(
       {&events::TaskEnded, toString(Key), std::string(outcomeName(Outcome)) + " " + Detail});
 }
 
-void onStatus(ShardState &State, Decision &Out, HomeJob &Job, HomeTask &Task,
-              const wire::PartStatus &Status, TimePoint Now, WallTime Wall) {
-  const auto Phase = static_cast<PartPhase>(Status.phase());
+void onTaskStatus(ShardState &State, Decision &Out, HomeJob &Job, HomeTask &Task,
+                  const wire::PartStatus &Status, TimePoint Now, WallTime Wall) {
+  const auto Phase = static_cast<AssignedPhase>(Status.phase());
   const TaskKey Key{Status.key().job(), Status.key().index()};
   Task.Adopted = true;
-  Task.Seen = std::string(phaseName(Phase));
+  Task.ReportedPhase = std::string(phaseName(Phase));
   Task.Worker = Status.worker();
   Task.Started = WallTime(Milliseconds(Status.started_ms()));
-  if (Phase != PartPhase::Ended && Phase != PartPhase::Returned)
+  if (Phase != AssignedPhase::Ended && Phase != AssignedPhase::Returned)
     return;
   const auto Outcome = static_cast<TaskOutcome>(Status.outcome());
-  const bool Again = Phase == PartPhase::Returned ||
-                     (Job.Spec->Kind == JobKind::Service && Outcome != TaskOutcome::Cancelled);
-  if (Again && Job.Cancelled)
-    return endAt(State, Out, Key, TaskOutcome::Cancelled, "cancelled while it moved", Wall, Now);
-  if (!Again)
-    return endAt(State, Out, Key, Outcome, Status.detail(),
-                 WallTime(Milliseconds(Status.ended_ms())), Now);
+  const bool RunsAgain = Phase == AssignedPhase::Returned ||
+                         (Job.Spec->Kind == JobKind::Service && Outcome != TaskOutcome::Cancelled);
+  if (RunsAgain && Job.Cancelled)
+    return recordTaskEnd(State, Out, Key, TaskOutcome::Cancelled, "cancelled while it moved", Wall,
+                         Now);
+  if (!RunsAgain)
+    return recordTaskEnd(State, Out, Key, Outcome, Status.detail(),
+                         WallTime(Milliseconds(Status.ended_ms())), Now);
   reclaim(State, Out, Status, Now);
-  if (Phase == PartPhase::Ended)
+  if (Phase == AssignedPhase::Ended)
     Task.NotBefore = Now + ServiceRestartPause;
 }
 
@@ -117,13 +118,13 @@
 
 Decision acceptJob(ShardState &State, const JobSpec &Spec, TimePoint Now) {
   Decision Out;
-  wire::Record What;
-  *What.mutable_job_accepted()->mutable_spec() = specToWire(Spec);
-  Recorder(State, Out, Now).add(std::move(What));
+  wire::Record NewRecord;
+  *NewRecord.mutable_job_accepted()->mutable_spec() = specToWire(Spec);
+  Recorder(State, Out, Now).add(std::move(NewRecord));
   return Out;
 }
 
-Decision lendWaiting(ShardState &State, const ShardChooser &Choose, bool Again,
+Decision lendWaiting(ShardState &State, const ShardChooser &Choose, bool Resend,
                      const DecisionLimits &Limits, TimePoint Now) {
   Decision Out;
   for (const std::string &Id : State.OpenJobs) {
@@ -133,14 +134,14 @@
       Job.GangNotBefore = Now + GangPause;
       lendJob(State, Out, Job, Choose, Now);
     }
-    if (Again && Job.Lent > 0)
-      lendAgain(Out, Job, Limits, Now);
+    if (Resend && Job.Lent > 0)
+      resendLends(Out, Job, Limits, Now);
   }
   return Out;
 }
 
-Decision forgetEnded(ShardState &State, const DecisionLimits &Limits, TimePoint Now,
-                     WallTime Wall) {
+Decision forgetEndedJobs(ShardState &State, const DecisionLimits &Limits, TimePoint Now,
+                         WallTime Wall) {
   Decision Out;
   Recorder Record(State, Out, Now);
   std::vector<std::string> Old;
@@ -148,13 +149,13 @@
     WallTime Last = Job.Spec->Accepted;
     for (const HomeTask &Task : Job.Tasks)
       Last = std::max(Last, Task.Ended);
-    if (Job.Ended == Job.Tasks.size() && Wall - Last >= Limits.KeepEnded)
+    if (Job.Ended == Job.Tasks.size() && Wall - Last >= Limits.EndedJobRetention)
       Old.push_back(Id);
   }
   for (const std::string &Id : Old) {
-    wire::Record What;
-    What.mutable_job_forgotten()->set_job(Id);
-    Record.add(std::move(What));
+    wire::Record NewRecord;
+    NewRecord.mutable_job_forgotten()->set_job(Id);
+    Record.add(std::move(NewRecord));
   }
   return Out;
 }
@@ -194,7 +195,7 @@
     if (Task.Phase != HomePhase::Lent || Task.Shard != Report.from() ||
         Status.attempt() < Task.NextAttempt)
       continue;
-    onStatus(State, Out, Job, Task, Status, Now, Wall);
+    onTaskStatus(State, Out, Job, Task, Status, Now, Wall);
     if (Job.Ended == Job.Tasks.size())
       Out.Notices.push_back({&events::JobEnded, Job.Spec->Id, ""});
   }
@@ -206,17 +207,17 @@
   const auto Found = State.Jobs.find(Job);
   if (Found == State.Jobs.end() || Found->second.Cancelled)
     return Out;
-  wire::Record What;
-  What.mutable_job_cancelled()->set_job(Job);
-  Recorder(State, Out, TimePoint{}).add(std::move(What));
+  wire::Record NewRecord;
+  NewRecord.mutable_job_cancelled()->set_job(Job);
+  Recorder(State, Out, TimePoint{}).add(std::move(NewRecord));
   Out.Notices.push_back({&events::JobCancelled, Job, ""});
-  Out.Cancels = cancelsDue(State);
+  Out.Cancels = pendingCancels(State);
   std::erase_if(Out.Cancels,
                 [&](const CancelEffect &Effect) { return Effect.Keys.front().Job != Job; });
   return Out;
 }
 
-std::vector<CancelEffect> cancelsDue(const ShardState &State) {
+std::vector<CancelEffect> pendingCancels(const ShardState &State) {
   std::vector<CancelEffect> Due;
   for (const std::string &Id : State.OpenJobs) {
     const HomeJob &Job = State.Jobs.at(Id);
--- a/src/jobs/shard_fuzz_test.cpp
+++ b/src/jobs/shard_fuzz_test.cpp
@@ -18,38 +18,38 @@
 
 constexpr int64_t WorkerCores = 3000;
 constexpr Milliseconds TaskLease{5000};
-constexpr size_t MostTasks = 8;
+constexpr size_t MaxTasks = 8;
 
 // A task as it really runs.
-struct TrueRun {
+struct ActualRun {
   TaskKey Key;
   uint32_t Attempt;
   int64_t Cores;
   TimePoint LeaseEnds;
 };
 
-struct TrueWorker {
+struct ActualWorker {
   std::string Name;
   std::string Incarnation = "1";
   bool Frozen = false;
-  std::vector<TrueRun> Runs;
+  std::vector<ActualRun> Runs;
   std::vector<TaskReport> Ended;
 };
 
 // A start on its way from an owner to a worker.
-struct Flight {
+struct StartInTransit {
   StartEffect Effect;
-  uint64_t Owner;       ///< Which owner sends it.
-  bool Sent = false;    ///< Left the owner; can't be called back.
-  bool Answered = true; ///< The owner still waits for the answer.
-  TimePoint NoLaterThan{};
+  uint64_t Owner;               ///< Which owner sends it.
+  bool Sent = false;            ///< Left the owner; can't be called back.
+  bool AwaitingResponse = true; ///< The owner still waits for the answer.
+  TimePoint DeliverBy{};
 };
 
-class World {
+class Simulation {
 public:
-  explicit World(uint64_t Seed) : Random(Seed) {
+  explicit Simulation(uint64_t Seed) : Random(Seed) {
     Limits.TaskLease = TaskLease;
-    Limits.Settle = 2000ms;
+    Limits.SettleTime = 2000ms;
     for (int I = 0; I < 3; ++I) {
       Workers.push_back({"w" + std::to_string(I)});
       BoxInfo Box;
@@ -57,34 +57,34 @@
       Box.Capacity = {WorkerCores, 100000, 0};
       Boxes.push_back(Box);
     }
-    takeOver(true);
+    failOver(true);
   }
 
   void step() {
     ++Events;
     Now += Milliseconds(pick(120));
-    lapse();
+    expireLeases();
     switch (pick(14)) {
     case 0:
     case 1:
-      return lendOne();
+      return lendTask();
     case 2:
     case 3:
       return place();
     case 4:
     case 5:
     case 6:
-      return moveFlight();
+      return deliverOrLoseStart();
     case 7:
     case 8:
     case 9:
-      return syncOne();
+      return syncWorker();
     case 10:
-      return endOne();
+      return endRun();
     case 11:
-      return trouble();
+      return injectFault();
     case 12:
-      return cancelOne();
+      return cancelTask();
     default:
       return tick();
     }
@@ -92,34 +92,34 @@
 
   uint64_t Events = 0;
   uint64_t Starts = 0;
-  uint64_t TakeOvers = 0;
-  std::vector<std::string> Broken;
+  uint64_t Takeovers = 0;
+  std::vector<std::string> Violations;
 
 private:
   uint32_t pick(uint32_t Below) { return static_cast<uint32_t>(Random() % Below); }
-  TrueWorker &anyWorker() { return Workers[pick(static_cast<uint32_t>(Workers.size()))]; }
+  ActualWorker &anyWorker() { return Workers[pick(static_cast<uint32_t>(Workers.size()))]; }
   WallTime wall() const {
     return WallTime(std::chrono::duration_cast<Milliseconds>(Now.time_since_epoch()));
   }
 
   // Keeps records and lets effects begin. Nothing is lost between the two: that is the
   // journal's part and has tests of its own.
-  void take(const Decision &What) {
-    Log.insert(Log.end(), What.Records.begin(), What.Records.end());
-    for (const StartEffect &Start : What.Starts)
-      Flights.push_back({Start, Owner});
-    for (const ControlEffect &Control : What.Controls)
-      stopTrue(Control);
-    for (const ForgetEffect &Forget : What.Forgets)
-      for (TrueWorker &W : Workers)
+  void take(const Decision &Decided) {
+    Log.insert(Log.end(), Decided.Records.begin(), Decided.Records.end());
+    for (const StartEffect &Start : Decided.Starts)
+      StartsInTransit.push_back({Start, Owner});
+    for (const ControlEffect &Control : Decided.Controls)
+      stopOnWorker(Control);
+    for (const ForgetEffect &Forget : Decided.Forgets)
+      for (ActualWorker &W : Workers)
         std::erase_if(W.Ended, [&](const TaskReport &T) {
           return W.Name == Forget.Worker && T.Id == Forget.TaskId;
         });
   }
 
-  void lendOne() {
-    if (State.Parts.size() >= MostTasks)
-      return dropOne();
+  void lendTask() {
+    if (State.AssignedTasks.size() >= MaxTasks)
+      return dropTask();
     wire::LendRequest Lend;
     JobSpec Spec;
     Spec.Id = "j" + std::to_string(++Jobs);
@@ -131,13 +131,13 @@
     *Lend.mutable_spec() = specToWire(Spec);
     Lend.add_index(0);
     Lend.add_next_attempt(1);
-    take(adoptParts(State, Lend, Now));
+    take(adoptTasks(State, Lend, Now));
   }
 
-  void dropOne() {
-    for (const auto &[Key, Task] : State.Parts)
-      if (Task.Phase == PartPhase::Ended || Task.Phase == PartPhase::Returned)
-        return take(dropParts(State, {TaskKey(Key)}, Now));
+  void dropTask() {
+    for (const auto &[Key, Task] : State.AssignedTasks)
+      if (Task.Phase == AssignedPhase::Ended || Task.Phase == AssignedPhase::Returned)
+        return take(dropTasks(State, {TaskKey(Key)}, Now));
   }
 
   void place() {
@@ -146,144 +146,145 @@
   }
 
   // Something happens to one start on its way.
-  void moveFlight() {
-    if (Flights.empty())
+  void deliverOrLoseStart() {
+    if (StartsInTransit.empty())
       return;
-    auto Chosen = Flights.begin();
-    std::advance(Chosen, pick(static_cast<uint32_t>(Flights.size())));
-    TrueWorker &To = *std::find_if(Workers.begin(), Workers.end(), [&](const TrueWorker &W) {
+    auto Chosen = StartsInTransit.begin();
+    std::advance(Chosen, pick(static_cast<uint32_t>(StartsInTransit.size())));
+    ActualWorker &To = *std::find_if(Workers.begin(), Workers.end(), [&](const ActualWorker &W) {
       return W.Name == Chosen->Effect.Worker;
     });
     const bool Mine = Chosen->Owner == Owner;
-    const uint32_t What = pick(10);
-    if (Mine && !Chosen->Sent && What == 0) {
+    const uint32_t Choice = pick(10);
+    if (Mine && !Chosen->Sent && Choice == 0) {
       answer(*Chosen, StartAnswer::NotSent);
-      Flights.erase(Chosen);
+      StartsInTransit.erase(Chosen);
       return;
     }
     Chosen->Sent = true;
-    if (Mine && Chosen->Answered && What <= 2) {
+    if (Mine && Chosen->AwaitingResponse && Choice <= 2) {
       // The call times out; the bytes may still arrive, unless they were lost.
       answer(*Chosen, StartAnswer::Unanswered);
-      Chosen->Answered = false;
-      Chosen->NoLaterThan = Now + Limits.Settle;
-      if (What == 1)
-        Flights.erase(Chosen);
+      Chosen->AwaitingResponse = false;
+      Chosen->DeliverBy = Now + Limits.SettleTime;
+      if (Choice == 1)
+        StartsInTransit.erase(Chosen);
       return;
     }
     if (To.Frozen)
       return;
-    arrive(*Chosen, To);
-    if (Mine && Chosen->Answered)
+    deliver(*Chosen, To);
+    if (Mine && Chosen->AwaitingResponse)
       answer(*Chosen, pick(6) == 0 ? StartAnswer::Unanswered : StartAnswer::Accepted);
-    Flights.erase(Chosen);
+    StartsInTransit.erase(Chosen);
   }
 
-  void answer(const Flight &F, StartAnswer Answer) {
+  void answer(const StartInTransit &F, StartAnswer Answer) {
     take(onStartAnswer(State, F.Effect.Key, F.Effect.Attempt, Answer, Limits, Now));
   }
 
   // The worker begins what it is told to begin.
-  void arrive(const Flight &F, TrueWorker &To) {
+  void deliver(const StartInTransit &F, ActualWorker &To) {
     const StartEffect &Start = F.Effect;
     ++Starts;
     int64_t Used = Start.Spec->Size.MilliCores;
-    for (const TrueRun &Run : To.Runs)
+    for (const ActualRun &Run : To.Runs)
       Used += Run.Cores;
     const std::string Id = workerTaskId(Start.Key, Start.Attempt);
     if (Used > WorkerCores)
-      Broken.push_back(Id + " made " + To.Name + " over-full");
-    for (const TrueWorker &W : Workers)
-      for (const TrueRun &Run : W.Runs)
+      Violations.push_back(Id + " made " + To.Name + " over-full");
+    for (const ActualWorker &W : Workers)
+      for (const ActualRun &Run : W.Runs)
         if (Run.Key == Start.Key)
-          Broken.push_back(Id + " runs twice at once");
-    if (!Start.Spec->Repeatable && ++OnceStarts[toString(Start.Key)] > 1)
-      Broken.push_back(Id + " was started again although it may run once");
+          Violations.push_back(Id + " runs twice at once");
+    if (!Start.Spec->Repeatable && ++StartsOfNonRepeatableTasks[toString(Start.Key)] > 1)
+      Violations.push_back(Id + " was started again although it may run once");
     To.Runs.push_back({Start.Key, Start.Attempt, Start.Spec->Size.MilliCores, Now + TaskLease});
   }
 
-  void stopTrue(const ControlEffect &Control) {
-    for (TrueWorker &W : Workers)
+  void stopOnWorker(const ControlEffect &Control) {
+    for (ActualWorker &W : Workers)
       if (W.Name == Control.Worker && !W.Frozen)
         finish(
             W,
-            [&](const TrueRun &Run) {
+            [&](const ActualRun &Run) {
               return workerTaskId(Run.Key, Run.Attempt) == Control.TaskId;
             },
             TaskReport::State::Stopped);
   }
 
-  template <class Predicate> void finish(TrueWorker &W, Predicate Which, TaskReport::State How) {
-    for (const TrueRun &Run : W.Runs)
+  template <class Predicate> void finish(ActualWorker &W, Predicate Which, TaskReport::State How) {
+    for (const ActualRun &Run : W.Runs)
       if (Which(Run)) {
         TaskReport Report;
         Report.Id = workerTaskId(Run.Key, Run.Attempt);
-        Report.What = How;
+        Report.Status = How;
         W.Ended.push_back(Report);
       }
     std::erase_if(W.Runs, Which);
   }
 
   // Leases lapse on time also on a worker whose daemon is frozen.
-  void lapse() {
-    for (TrueWorker &W : Workers)
+  void expireLeases() {
+    for (ActualWorker &W : Workers)
       finish(
-          W, [&](const TrueRun &Run) { return Now >= Run.LeaseEnds; }, TaskReport::State::Stopped);
+          W, [&](const ActualRun &Run) { return Now >= Run.LeaseEnds; },
+          TaskReport::State::Stopped);
     // Bytes that an awake worker could read have been read by now.
-    for (auto F = Flights.begin(); F != Flights.end();) {
-      TrueWorker &To = *std::find_if(Workers.begin(), Workers.end(), [&](const TrueWorker &W) {
+    for (auto F = StartsInTransit.begin(); F != StartsInTransit.end();) {
+      ActualWorker &To = *std::find_if(Workers.begin(), Workers.end(), [&](const ActualWorker &W) {
         return W.Name == F->Effect.Worker;
       });
-      const bool Due = F->Sent && !F->Answered && F->NoLaterThan != TimePoint{} &&
-                       Now >= F->NoLaterThan && !To.Frozen;
+      const bool Due = F->Sent && !F->AwaitingResponse && F->DeliverBy != TimePoint{} &&
+                       Now >= F->DeliverBy && !To.Frozen;
       if (!Due) {
         ++F;
         continue;
       }
-      arrive(*F, To);
-      F = Flights.erase(F);
+      deliver(*F, To);
+      F = StartsInTransit.erase(F);
     }
   }
 
-  void syncOne() {
-    TrueWorker &W = anyWorker();
-    WorkerBook &Book = *State.Workers.at(W.Name);
-    const bool Renew = Book.FailedCalls == 0;
-    std::vector<TaskKey> Named(Book.Parts.begin(), Book.Parts.end());
-    const bool Reaches = !W.Frozen && pick(8) != 0;
-    const bool Heard = Reaches && pick(8) != 0;
-    if (Reaches && Renew)
-      for (TrueRun &Run : W.Runs)
+  void syncWorker() {
+    ActualWorker &W = anyWorker();
+    WorkerState &Worker = *State.Workers.at(W.Name);
+    const bool Renew = Worker.FailedCalls == 0;
+    std::vector<TaskKey> Named(Worker.AssignedTasks.begin(), Worker.AssignedTasks.end());
+    const bool Delivered = !W.Frozen && pick(8) != 0;
+    const bool Received = Delivered && pick(8) != 0;
+    if (Delivered && Renew)
+      for (ActualRun &Run : W.Runs)
         if (std::find(Named.begin(), Named.end(), Run.Key) != Named.end())
           Run.LeaseEnds = Now + TaskLease;
     const TimePoint AskedAt = Now;
     WorkerReport Report{W.Incarnation, 1, W.Ended};
-    for (const TrueRun &Run : W.Runs) {
+    for (const ActualRun &Run : W.Runs) {
       TaskReport Task;
       Task.Id = workerTaskId(Run.Key, Run.Attempt);
       Task.Size = {Run.Cores, 10, 0};
       Report.Tasks.push_back(Task);
     }
     Now += Milliseconds(pick(50));
-    if (Heard)
+    if (Received)
       take(onWorkerReport(State, W.Name, Report, Renew, Limits, AskedAt, Now, wall()));
     else
-      take(onWorkerSilent(State, W.Name, Renew, Limits));
+      take(onWorkerCallFailed(State, W.Name, Renew, Limits));
   }
 
-  void endOne() {
-    TrueWorker &W = anyWorker();
+  void endRun() {
+    ActualWorker &W = anyWorker();
     if (W.Runs.empty() || W.Frozen)
       return;
     const TaskKey Key = W.Runs[pick(static_cast<uint32_t>(W.Runs.size()))].Key;
     finish(
-        W, [&](const TrueRun &Run) { return Run.Key == Key; },
+        W, [&](const ActualRun &Run) { return Run.Key == Key; },
         pick(4) == 0 ? TaskReport::State::Failed : TaskReport::State::Succeeded);
   }
 
-  void cancelOne() {
-    if (pick(4) == 0 && !State.Parts.empty())
-      take(onCancelParts(State, {State.Parts.begin()->first}, wall()));
+  void cancelTask() {
+    if (pick(4) == 0 && !State.AssignedTasks.empty())
+      take(onCancelTasks(State, {State.AssignedTasks.begin()->first}, wall()));
   }
 
   void tick() {
@@ -291,8 +292,8 @@
         State, Limits, [this](const JobSpec &) { return pick(20) == 0; }, Now, wall()));
   }
 
-  void trouble() {
-    TrueWorker &W = anyWorker();
+  void injectFault() {
+    ActualWorker &W = anyWorker();
     switch (pick(12)) {
     case 0:
     case 1:
@@ -309,26 +310,27 @@
       W.Ended.clear();
       W.Frozen = false;
       W.Incarnation += "'";
-      std::erase_if(Flights, [&](const Flight &F) { return F.Sent && F.Effect.Worker == W.Name; });
+      std::erase_if(StartsInTransit,
+                    [&](const StartInTransit &F) { return F.Sent && F.Effect.Worker == W.Name; });
       return;
     case 6:
       Now += 4000ms;
       return;
     case 7:
-      return takeOver(false);
+      return failOver(false);
     case 8:
-      return provePredecessorGone();
+      return confirmPredecessorGone();
     default:
       return;
     }
   }
 
   // A successor replays the journal. The predecessor, frozen, may still send what it journalled.
-  void takeOver(bool First) {
+  void failOver(bool First) {
     if (!First && !State.PredecessorGone)
       return;
     ++Owner;
-    ++TakeOvers;
+    ++Takeovers;
     ShardState Next;
     Next.Id = 1;
     for (const wire::Record &Record : Log)
@@ -341,14 +343,15 @@
   }
 
   // What it had not sent dies with it; what it had sent arrives soon or never.
-  void provePredecessorGone() {
+  void confirmPredecessorGone() {
     if (State.PredecessorGone)
       return;
-    std::erase_if(Flights, [&](const Flight &F) { return F.Owner != Owner && !F.Sent; });
-    for (Flight &F : Flights)
+    std::erase_if(StartsInTransit,
+                  [&](const StartInTransit &F) { return F.Owner != Owner && !F.Sent; });
+    for (StartInTransit &F : StartsInTransit)
       if (F.Owner != Owner) {
-        F.Answered = false;
-        F.NoLaterThan = Now + Limits.Settle;
+        F.AwaitingResponse = false;
+        F.DeliverBy = Now + Limits.SettleTime;
       }
     onPredecessorGone(State, Limits, Now);
   }
@@ -357,11 +360,11 @@
   DecisionLimits Limits;
   CellConfig Config;
   BoxList Boxes;
-  std::vector<TrueWorker> Workers;
-  std::list<Flight> Flights;
+  std::vector<ActualWorker> Workers;
+  std::list<StartInTransit> StartsInTransit;
   ShardState State;
   std::vector<wire::Record> Log;
-  std::map<std::string, int> OnceStarts;
+  std::map<std::string, int> StartsOfNonRepeatableTasks;
   TimePoint Now{1000s};
   uint64_t Owner = 0;
   uint64_t Jobs = 0;
@@ -372,28 +375,28 @@
   return Text ? std::strtoull(Text, nullptr, 10) : Default;
 }
 
-TEST(ShardFuzz, WhatMustHoldHoldsInAnyOrderOfEvents) {
+TEST(ShardFuzz, InvariantsHoldUnderRandomEventOrders) {
   const uint64_t Events = fromEnvironment("VALVESHELF_FUZZ_EVENTS", 300000);
   const uint64_t First = fromEnvironment("VALVESHELF_FUZZ_SEED", 1);
-  constexpr uint64_t EventsPerWorld = 20000;
+  constexpr uint64_t EventsPerSimulation = 20000;
   uint64_t Done = 0;
   uint64_t Starts = 0;
-  uint64_t TakeOvers = 0;
+  uint64_t Takeovers = 0;
   for (uint64_t Seed = First; Done < Events; ++Seed) {
-    World Tried(Seed);
-    while (Tried.Events < EventsPerWorld && Tried.Broken.empty())
-      Tried.step();
-    ASSERT_TRUE(Tried.Broken.empty())
-        << "seed " << Seed << " event " << Tried.Events << ": " << Tried.Broken.front();
-    Done += Tried.Events;
-    Starts += Tried.Starts;
-    TakeOvers += Tried.TakeOvers;
+    Simulation Sim(Seed);
+    while (Sim.Events < EventsPerSimulation && Sim.Violations.empty())
+      Sim.step();
+    ASSERT_TRUE(Sim.Violations.empty())
+        << "seed " << Seed << " event " << Sim.Events << ": " << Sim.Violations.front();
+    Done += Sim.Events;
+    Starts += Sim.Starts;
+    Takeovers += Sim.Takeovers;
   }
   EXPECT_GT(Starts, Done / 100);
-  EXPECT_GT(TakeOvers, Done / 1000);
+  EXPECT_GT(Takeovers, Done / 1000);
   std::printf("fuzz: %lu events, %lu starts, %lu takeovers, 0 breaks\n",
               static_cast<unsigned long>(Done), static_cast<unsigned long>(Starts),
-              static_cast<unsigned long>(TakeOvers));
+              static_cast<unsigned long>(Takeovers));
 }
 
 } // namespace
--- a/src/jobs/shard_state.cpp
+++ b/src/jobs/shard_state.cpp
@@ -9,7 +9,7 @@
 
 // Where in the queue a part stands: the time of its acceptance plus what its class may wait.
 // Everything moves to the front with age, so nothing starves.
-double orderOf(const JobSpec &Spec) {
+double queueKeyOf(const JobSpec &Spec) {
   constexpr std::array<double, 4> ClassDelaySeconds{-3600.0, 0.0, 10.0, 600.0};
   const double Accepted = std::chrono::duration<double>(Spec.Accepted.time_since_epoch()).count();
   const double Usual = Accepted + ClassDelaySeconds.at(static_cast<size_t>(Spec.Class));
@@ -34,56 +34,56 @@
   }
 }
 
-void unbook(ShardState &State, Part &Task) {
+void unbook(ShardState &State, AssignedTask &Task) {
   if (Task.Worker.empty())
     return;
   countUse(State, *Task.Spec, Task.Booked, -1);
   const auto Found = State.Workers.find(Task.Worker);
   if (Found != State.Workers.end()) {
     Found->second->Booked -= Task.Booked;
-    Found->second->Parts.erase(Task.Key);
-    refreshRoom(State, *Found->second);
+    Found->second->AssignedTasks.erase(Task.Key);
+    refreshCandidate(State, *Found->second);
   }
   Task.Worker.clear();
   Task.Booked = {};
 }
 
-WorkerBook &bookOf(ShardState &State, const std::string &Worker) {
-  auto &Book = State.Workers[Worker];
-  if (!Book) {
-    Book = std::make_unique<WorkerBook>();
-    Book->Box.Name = Worker;
-    Book->Slot = static_cast<uint32_t>(State.Rooms.size());
-    State.Rooms.push_back({{}, {}, Book.get(), false});
+WorkerState &workerOf(ShardState &State, const std::string &WorkerName) {
+  auto &Worker = State.Workers[WorkerName];
+  if (!Worker) {
+    Worker = std::make_unique<WorkerState>();
+    Worker->Box.Name = WorkerName;
+    Worker->CandidateIndex = static_cast<uint32_t>(State.Candidates.size());
+    State.Candidates.push_back({{}, {}, Worker.get(), false});
     State.SelectorCache.clear();
   }
-  return *Book;
+  return *Worker;
 }
 
-void book(ShardState &State, Part &Task, const std::string &Worker) {
+void book(ShardState &State, AssignedTask &Task, const std::string &WorkerName) {
   unbook(State, Task);
-  Task.Worker = Worker;
+  Task.Worker = WorkerName;
   Task.Booked = Task.Spec->Size;
-  WorkerBook &Book = bookOf(State, Worker);
-  Book.Booked += Task.Booked;
-  Book.Parts.insert(Task.Key);
+  WorkerState &Worker = workerOf(State, WorkerName);
+  Worker.Booked += Task.Booked;
+  Worker.AssignedTasks.insert(Task.Key);
   countUse(State, *Task.Spec, Task.Booked, 1);
-  refreshRoom(State, Book);
+  refreshCandidate(State, Worker);
 }
 
-void enqueue(ShardState &State, Part &Task, TimePoint Now) {
-  Task.Phase = PartPhase::Queued;
-  Task.Doubt = StartDoubt::None;
+void enqueue(ShardState &State, AssignedTask &Task, TimePoint Now) {
+  Task.Phase = AssignedPhase::Queued;
+  Task.Uncertainty = StartUncertainty::None;
   Task.CallInFlight = false;
   Task.QueuedSince = Now;
   State.Dirty.insert(Task.Key);
-  Task.Order = orderOf(*Task.Spec);
-  State.Queue.insert({Task.Order, Task.Key});
+  Task.QueueKey = queueKeyOf(*Task.Spec);
+  State.Queue.insert({Task.QueueKey, Task.Key});
 }
 
-Part *findPart(ShardState &State, const wire::TaskKey &Key) {
-  const auto Found = State.Parts.find({Key.job(), Key.index()});
-  return Found == State.Parts.end() ? nullptr : &Found->second;
+AssignedTask *findAssignedTask(ShardState &State, const wire::TaskKey &Key) {
+  const auto Found = State.AssignedTasks.find({Key.job(), Key.index()});
+  return Found == State.AssignedTasks.end() ? nullptr : &Found->second;
 }
 
 HomeTask *findTask(ShardState &State, const std::string &Job, uint32_t Index) {
@@ -103,7 +103,7 @@
 }
 
 // Keeps OpenJobs true to the job's counts.
-void noteOpen(ShardState &State, const HomeJob &Job) {
+void updateOpenJobs(ShardState &State, const HomeJob &Job) {
   if (Job.Ended == Job.Tasks.size())
     State.OpenJobs.erase(Job.Spec->Id);
   else
@@ -119,55 +119,55 @@
   Task.Ended = When;
 }
 
-void apply(ShardState &State, const wire::JobAccepted &What, TimePoint) {
-  const auto Spec = std::make_shared<const JobSpec>(specFromWire(What.spec()));
+void apply(ShardState &State, const wire::JobAccepted &Record, TimePoint) {
+  const auto Spec = std::make_shared<const JobSpec>(specFromWire(Record.spec()));
   if (State.Jobs.count(Spec->Id))
     return;
   HomeJob &Job = State.Jobs[Spec->Id];
   Job.Spec = Spec;
   Job.Tasks.resize(Spec->Count);
   Job.Waiting = Spec->Count;
-  noteOpen(State, Job);
+  updateOpenJobs(State, Job);
 }
 
-void apply(ShardState &State, const wire::TasksLent &What, TimePoint Now) {
-  for (const uint32_t Index : What.index()) {
-    HomeTask *Task = findTask(State, What.job(), Index);
+void apply(ShardState &State, const wire::TasksLent &Record, TimePoint Now) {
+  for (const uint32_t Index : Record.index()) {
+    HomeTask *Task = findTask(State, Record.job(), Index);
     if (!Task || Task->Phase != HomePhase::Waiting)
       continue;
-    setPhase(State.Jobs[What.job()], *Task, HomePhase::Lent);
-    Task->Shard = What.shard();
+    setPhase(State.Jobs[Record.job()], *Task, HomePhase::Lent);
+    Task->Shard = Record.shard();
     Task->Adopted = false;
     Task->LentAt = Now;
-    Task->Seen = "lent";
+    Task->ReportedPhase = "lent";
   }
 }
 
-void apply(ShardState &State, const wire::TasksReclaimed &What, TimePoint) {
-  for (int I = 0; I < What.index_size(); ++I) {
-    HomeTask *Task = findTask(State, What.job(), What.index(I));
+void apply(ShardState &State, const wire::TasksReclaimed &Record, TimePoint) {
+  for (int I = 0; I < Record.index_size(); ++I) {
+    HomeTask *Task = findTask(State, Record.job(), Record.index(I));
     if (!Task || Task->Phase != HomePhase::Lent)
       continue;
-    setPhase(State.Jobs[What.job()], *Task, HomePhase::Waiting);
-    Task->NextAttempt = std::max(Task->NextAttempt, What.next_attempt(I));
+    setPhase(State.Jobs[Record.job()], *Task, HomePhase::Waiting);
+    Task->NextAttempt = std::max(Task->NextAttempt, Record.next_attempt(I));
     Task->Adopted = false;
     Task->Worker.clear();
-    Task->Seen = "waiting";
+    Task->ReportedPhase = "waiting";
   }
 }
 
-void apply(ShardState &State, const wire::TaskEnded &What, TimePoint) {
-  HomeTask *Task = findTask(State, What.key().job(), What.key().index());
+void apply(ShardState &State, const wire::TaskEnded &Record, TimePoint) {
+  HomeTask *Task = findTask(State, Record.key().job(), Record.key().index());
   if (!Task)
     return;
-  HomeJob &Job = State.Jobs[What.key().job()];
-  endTask(Job, *Task, static_cast<TaskOutcome>(What.outcome()), What.detail(),
-          WallTime(Milliseconds(What.ended_ms())));
-  noteOpen(State, Job);
+  HomeJob &Job = State.Jobs[Record.key().job()];
+  endTask(Job, *Task, static_cast<TaskOutcome>(Record.outcome()), Record.detail(),
+          WallTime(Milliseconds(Record.ended_ms())));
+  updateOpenJobs(State, Job);
 }
 
-void apply(ShardState &State, const wire::JobCancelled &What, TimePoint) {
-  const auto Found = State.Jobs.find(What.job());
+void apply(ShardState &State, const wire::JobCancelled &Record, TimePoint) {
+  const auto Found = State.Jobs.find(Record.job());
   if (Found == State.Jobs.end() || Found->second.Cancelled)
     return;
   HomeJob &Job = Found->second;
@@ -175,93 +175,93 @@
   for (HomeTask &Task : Job.Tasks)
     if (Task.Phase == HomePhase::Waiting)
       endTask(Job, Task, TaskOutcome::Cancelled, "cancelled before it was placed", {});
-  noteOpen(State, Job);
+  updateOpenJobs(State, Job);
 }
 
-void apply(ShardState &State, const wire::JobResized &What, TimePoint) {
-  const auto Found = State.Jobs.find(What.job());
-  if (Found == State.Jobs.end() || What.count() <= Found->second.Tasks.size())
+void apply(ShardState &State, const wire::JobResized &Record, TimePoint) {
+  const auto Found = State.Jobs.find(Record.job());
+  if (Found == State.Jobs.end() || Record.count() <= Found->second.Tasks.size())
     return;
   HomeJob &Job = Found->second;
   auto Spec = std::make_shared<JobSpec>(*Job.Spec);
-  Spec->Count = What.count();
+  Spec->Count = Record.count();
   Job.Spec = Spec;
-  Job.Waiting += What.count() - static_cast<uint32_t>(Job.Tasks.size());
-  Job.Tasks.resize(What.count());
-  noteOpen(State, Job);
+  Job.Waiting += Record.count() - static_cast<uint32_t>(Job.Tasks.size());
+  Job.Tasks.resize(Record.count());
+  updateOpenJobs(State, Job);
 }
 
-void apply(ShardState &State, const wire::JobForgotten &What, TimePoint) {
-  State.Jobs.erase(What.job());
-  State.OpenJobs.erase(What.job());
+void apply(ShardState &State, const wire::JobForgotten &Record, TimePoint) {
+  State.Jobs.erase(Record.job());
+  State.OpenJobs.erase(Record.job());
 }
 
-void apply(ShardState &State, const wire::PartsAdopted &What, TimePoint Now) {
-  const auto Spec = std::make_shared<const JobSpec>(specFromWire(What.spec()));
-  for (int I = 0; I < What.index_size(); ++I) {
-    const TaskKey Key{Spec->Id, What.index(I)};
-    if (State.Parts.count(Key))
+void apply(ShardState &State, const wire::PartsAdopted &Record, TimePoint Now) {
+  const auto Spec = std::make_shared<const JobSpec>(specFromWire(Record.spec()));
+  for (int I = 0; I < Record.index_size(); ++I) {
+    const TaskKey Key{Spec->Id, Record.index(I)};
+    if (State.AssignedTasks.count(Key))
       continue;
-    Part &Task = State.Parts[Key];
+    AssignedTask &Task = State.AssignedTasks[Key];
     Task.Key = Key;
     Task.Spec = Spec;
-    Task.Home = What.home();
-    Task.Attempt = What.next_attempt(I);
-    Task.Tries = I < What.tries_size() ? What.tries(I) : 0;
+    Task.Home = Record.home();
+    Task.Attempt = Record.next_attempt(I);
+    Task.Tries = I < Record.tries_size() ? Record.tries(I) : 0;
     enqueue(State, Task, Now);
   }
 }
 
-void apply(ShardState &State, const wire::StartIntent &What, TimePoint) {
-  Part *Task = findPart(State, What.key());
-  if (!Task || Task->Phase != PartPhase::Queued)
+void apply(ShardState &State, const wire::StartIntent &Record, TimePoint) {
+  AssignedTask *Task = findAssignedTask(State, Record.key());
+  if (!Task || Task->Phase != AssignedPhase::Queued)
     return;
-  State.Queue.erase({Task->Order, Task->Key});
-  Task->Phase = PartPhase::Starting;
-  Task->Attempt = What.attempt();
-  Task->Started = WallTime(Milliseconds(What.intent_ms()));
-  book(State, *Task, What.worker());
+  State.Queue.erase({Task->QueueKey, Task->Key});
+  Task->Phase = AssignedPhase::Starting;
+  Task->Attempt = Record.attempt();
+  Task->Started = WallTime(Milliseconds(Record.intent_ms()));
+  book(State, *Task, Record.worker());
   State.Dirty.insert(Task->Key);
 }
 
-void apply(ShardState &State, const wire::StartVoid &What, TimePoint Now) {
-  Part *Task = findPart(State, What.key());
+void apply(ShardState &State, const wire::StartVoid &Record, TimePoint Now) {
+  AssignedTask *Task = findAssignedTask(State, Record.key());
   const bool Open =
-      Task && (Task->Phase == PartPhase::Starting || Task->Phase == PartPhase::Running);
-  if (!Open || Task->Attempt != What.attempt())
+      Task && (Task->Phase == AssignedPhase::Starting || Task->Phase == AssignedPhase::Running);
+  if (!Open || Task->Attempt != Record.attempt())
     return;
   unbook(State, *Task);
-  Task->Attempt = What.attempt() + 1;
-  Task->Tries += What.counts_as_try() ? 1 : 0;
-  Task->Detail = What.why();
+  Task->Attempt = Record.attempt() + 1;
+  Task->Tries += Record.counts_as_try() ? 1 : 0;
+  Task->Detail = Record.why();
   enqueue(State, *Task, Now);
 }
 
-void apply(ShardState &State, const wire::PartEnded &What, TimePoint) {
-  Part *Task = findPart(State, What.key());
-  if (!Task || Task->Phase == PartPhase::Ended || Task->Phase == PartPhase::Returned)
+void apply(ShardState &State, const wire::PartEnded &Record, TimePoint) {
+  AssignedTask *Task = findAssignedTask(State, Record.key());
+  if (!Task || Task->Phase == AssignedPhase::Ended || Task->Phase == AssignedPhase::Returned)
     return;
-  State.Queue.erase({Task->Order, Task->Key});
+  State.Queue.erase({Task->QueueKey, Task->Key});
   // A later attempt must not reuse the number of one that may have been started.
-  if (Task->Phase != PartPhase::Queued)
+  if (Task->Phase != AssignedPhase::Queued)
     ++Task->Attempt;
   unbook(State, *Task);
-  Task->Outcome = static_cast<TaskOutcome>(What.outcome());
-  Task->Phase = Task->Outcome == TaskOutcome::None ? PartPhase::Returned : PartPhase::Ended;
-  Task->Detail = What.detail();
-  Task->Ended = WallTime(Milliseconds(What.ended_ms()));
+  Task->Outcome = static_cast<TaskOutcome>(Record.outcome());
+  Task->Phase = Task->Outcome == TaskOutcome::None ? AssignedPhase::Returned : AssignedPhase::Ended;
+  Task->Detail = Record.detail();
+  Task->Ended = WallTime(Milliseconds(Record.ended_ms()));
   State.Dirty.insert(Task->Key);
 }
 
-void apply(ShardState &State, const wire::PartDropped &What, TimePoint Now) {
-  Part *Task = findPart(State, What.key());
+void apply(ShardState &State, const wire::PartDropped &Record, TimePoint Now) {
+  AssignedTask *Task = findAssignedTask(State, Record.key());
   if (!Task)
     return;
-  State.Queue.erase({Task->Order, Task->Key});
+  State.Queue.erase({Task->QueueKey, Task->Key});
   unbook(State, *Task);
   State.Dirty.erase(Task->Key);
   State.Tombstones[Task->Key] = {Task->Attempt, Now};
-  State.Parts.erase(TaskKey(Task->Key));
+  State.AssignedTasks.erase(TaskKey(Task->Key));
 }
 
 void apply(ShardState &State, const wire::ShardReset &, TimePoint) {
@@ -269,9 +269,9 @@
   State.OpenJobs.clear();
   State.Dirty.clear();
   State.Queue.clear();
-  for (auto &[Key, Task] : State.Parts)
+  for (auto &[Key, Task] : State.AssignedTasks)
     unbook(State, Task);
-  State.Parts.clear();
+  State.AssignedTasks.clear();
   State.TeamUse.clear();
 }
 
@@ -326,7 +326,8 @@
     Add().mutable_job_cancelled()->set_job(Job.Spec->Id);
 }
 
-void snapshotPart(uint32_t Shard, const Part &Task, std::vector<wire::Record> &Out) {
+void snapshotAssignedTask(uint32_t Shard, const AssignedTask &Task,
+                          std::vector<wire::Record> &Out) {
   const auto Add = [&]() -> wire::Record & {
     Out.emplace_back().set_shard(Shard);
     return Out.back();
@@ -344,7 +345,7 @@
     Intent.set_attempt(Task.Attempt);
     Intent.set_intent_ms(Task.Started.time_since_epoch().count());
   }
-  if (Task.Phase == PartPhase::Ended || Task.Phase == PartPhase::Returned) {
+  if (Task.Phase == AssignedPhase::Ended || Task.Phase == AssignedPhase::Returned) {
     wire::PartEnded &Ended = *Add().mutable_part_ended();
     *Ended.mutable_key() = keyToWire(Task.Key);
     Ended.set_outcome(static_cast<int>(Task.Outcome));
@@ -357,7 +358,7 @@
 
 std::string teamKey(const JobSpec &Spec) { return Spec.Partner + "/" + Spec.Team; }
 
-std::string_view phaseName(PartPhase Value) {
+std::string_view phaseName(AssignedPhase Value) {
   constexpr std::array<std::string_view, 5> Names{"queued", "starting", "running", "ended",
                                                   "returned"};
   return Names.at(static_cast<size_t>(Value));
@@ -369,36 +370,36 @@
   return Names.at(static_cast<size_t>(Value));
 }
 
-void applyRecord(ShardState &State, const wire::Record &What, TimePoint Now) {
-  switch (What.what_case()) {
+void applyRecord(ShardState &State, const wire::Record &Record, TimePoint Now) {
+  switch (Record.what_case()) {
   case wire::Record::kJobAccepted:
-    return apply(State, What.job_accepted(), Now);
+    return apply(State, Record.job_accepted(), Now);
   case wire::Record::kTasksLent:
-    return apply(State, What.tasks_lent(), Now);
+    return apply(State, Record.tasks_lent(), Now);
   case wire::Record::kTasksReclaimed:
-    return apply(State, What.tasks_reclaimed(), Now);
+    return apply(State, Record.tasks_reclaimed(), Now);
   case wire::Record::kTaskEnded:
-    return apply(State, What.task_ended(), Now);
+    return apply(State, Record.task_ended(), Now);
   case wire::Record::kJobCancelled:
-    return apply(State, What.job_cancelled(), Now);
+    return apply(State, Record.job_cancelled(), Now);
   case wire::Record::kJobResized:
-    return apply(State, What.job_resized(), Now);
+    return apply(State, Record.job_resized(), Now);
   case wire::Record::kJobForgotten:
-    return apply(State, What.job_forgotten(), Now);
+    return apply(State, Record.job_forgotten(), Now);
   case wire::Record::kPartsAdopted:
-    return apply(State, What.parts_adopted(), Now);
+    return apply(State, Record.parts_adopted(), Now);
   case wire::Record::kStartIntent:
-    return apply(State, What.start_intent(), Now);
+    return apply(State, Record.start_intent(), Now);
   case wire::Record::kStartVoid:
-    return apply(State, What.start_void(), Now);
+    return apply(State, Record.start_void(), Now);
   case wire::Record::kPartEnded:
-    return apply(State, What.part_ended(), Now);
+    return apply(State, Record.part_ended(), Now);
   case wire::Record::kPartDropped:
-    return apply(State, What.part_dropped(), Now);
+    return apply(State, Record.part_dropped(), Now);
   case wire::Record::kShardReset:
-    return apply(State, What.shard_reset(), Now);
+    return apply(State, Record.shard_reset(), Now);
   case wire::Record::kShardReleased:
-    return apply(State, What.shard_released(), Now);
+    return apply(State, Record.shard_released(), Now);
   case wire::Record::WHAT_NOT_SET:
     return;
   }
@@ -410,33 +411,33 @@
   Out.back().mutable_shard_reset();
   for (const auto &[Id, Job] : State.Jobs)
     snapshotJob(State.Id, Job, Out);
-  for (const auto &[Key, Task] : State.Parts)
-    snapshotPart(State.Id, Task, Out);
+  for (const auto &[Key, Task] : State.AssignedTasks)
+    snapshotAssignedTask(State.Id, Task, Out);
   return Out;
 }
 
 void setWorker(ShardState &State, const BoxInfo &Box) {
-  WorkerBook &Book = bookOf(State, Box.Name);
-  if (Book.Box == Box)
+  WorkerState &Worker = workerOf(State, Box.Name);
+  if (Worker.Box == Box)
     return;
-  Book.Box = Box;
+  Worker.Box = Box;
   State.SelectorCache.clear();
-  refreshRoom(State, Book);
+  refreshCandidate(State, Worker);
 }
 
-void setHealth(ShardState &State, WorkerBook &Book, WorkerHealth Health) {
-  Book.Health = Health;
-  refreshRoom(State, Book);
+void setHealth(ShardState &State, WorkerState &Worker, WorkerHealth Health) {
+  Worker.Health = Health;
+  refreshCandidate(State, Worker);
 }
 
-void refreshRoom(ShardState &State, WorkerBook &Book) {
-  WorkerRoom &Room = State.Rooms[Book.Slot];
-  Room.Capacity = Book.Box.Capacity;
-  Room.Free = Book.Box.Capacity - Book.Booked - Book.Held - Book.Orphans;
-  Room.Usable = Book.Health == WorkerHealth::Ready && !Book.Box.Leaving;
+void refreshCandidate(ShardState &State, WorkerState &Worker) {
+  PlacementCandidate &Candidate = State.Candidates[Worker.CandidateIndex];
+  Candidate.Capacity = Worker.Box.Capacity;
+  Candidate.Free = Worker.Box.Capacity - Worker.Booked - Worker.HeldForGangs - Worker.OrphanUsage;
+  Candidate.Usable = Worker.Health == WorkerHealth::Ready && !Worker.Box.Leaving;
 }
 
-void growBooking(ShardState &State, Part &Task, const Resources &Size) {
+void increaseBooking(ShardState &State, AssignedTask &Task, const Resources &Size) {
   const auto Found = State.Workers.find(Task.Worker);
   if (Found == State.Workers.end())
     return;
@@ -445,7 +446,7 @@
   Task.Booked = Grown;
   Found->second->Booked += More;
   countUse(State, *Task.Spec, More, 1);
-  refreshRoom(State, *Found->second);
+  refreshCandidate(State, *Found->second);
 }
 
 wire::Resources resourcesToWire(const Resources &Value) {
--- a/src/placement/fit.cpp
+++ b/src/placement/fit.cpp
@@ -31,21 +31,22 @@
 }
 
 // The share of the room's scarcest dimension that would be taken after the placement, 0 to 1.
-double fullness(const WorkerRoom &Room, const Resources &Size) {
+double fullness(const PlacementCandidate &Candidate, const Resources &Size) {
   const auto Share = [](int64_t Free, int64_t Take, int64_t Whole) {
     return Whole > 0 ? 1.0 - static_cast<double>(Free - Take) / static_cast<double>(Whole) : 0.0;
   };
-  return std::max(Share(Room.Free.MilliCores, Size.MilliCores, Room.Capacity.MilliCores),
-                  Share(Room.Free.MemoryMb, Size.MemoryMb, Room.Capacity.MemoryMb));
+  return std::max(Share(Candidate.Free.MilliCores, Size.MilliCores, Candidate.Capacity.MilliCores),
+                  Share(Candidate.Free.MemoryMb, Size.MemoryMb, Candidate.Capacity.MemoryMb));
 }
 
 // Accelerators are kept for tasks that ask for them.
 constexpr double AcceleratorPenalty = 10.0;
 
-double scoreOf(const WorkerRoom &Room, const JobSpec &Spec, const PlacementConfig &Weights) {
-  const double Full = fullness(Room, Spec.Size);
+double scoreOf(const PlacementCandidate &Candidate, const JobSpec &Spec,
+               const PlacementConfig &Weights) {
+  const double Full = fullness(Candidate, Spec.Size);
   double Score = Weights.Pack * Full + Weights.Spread * (1.0 - Full);
-  if (Spec.Size.Accelerators == 0 && Room.Capacity.Accelerators > 0)
+  if (Spec.Size.Accelerators == 0 && Candidate.Capacity.Accelerators > 0)
     Score -= AcceleratorPenalty;
   return Score;
 }
@@ -61,8 +62,8 @@
                      [](const SteerConfig *Steer) { return Steer->Hold; });
 }
 
-const std::vector<char> &selectedRooms(ShardState &State, const JobSpec &Spec,
-                                       const CellConfig &Config) {
+const std::vector<char> &selectedCandidates(ShardState &State, const JobSpec &Spec,
+                                            const CellConfig &Config) {
   const auto Steering = steeringOf(Spec, Config);
   const std::string Key = cacheKey(Spec, Config, Steering);
   const auto Found = State.SelectorCache.find(Key);
@@ -72,9 +73,9 @@
     State.SelectorCache.clear();
   const Result<Selector> Parsed = parseSelector(Spec.BoxSelector);
   std::vector<char> Allowed;
-  Allowed.reserve(State.Rooms.size());
-  for (const WorkerRoom &Room : State.Rooms) {
-    const Labels &BoxLabels = Room.Book->Box.Labels;
+  Allowed.reserve(State.Candidates.size());
+  for (const PlacementCandidate &Candidate : State.Candidates) {
+    const Labels &BoxLabels = Candidate.Worker->Box.Labels;
     bool Allow = ok(Parsed) && matches(value(Parsed), BoxLabels);
     for (const SteerConfig *Steer : Steering)
       Allow = Allow && matches(Steer->Boxes, BoxLabels);
@@ -83,25 +84,25 @@
   return State.SelectorCache[Key] = std::move(Allowed);
 }
 
-WorkerBook *bestRoom(ShardState &State, const JobSpec &Spec, const CellConfig &Config,
-                     const std::string &Avoid) {
-  const std::vector<char> &Allowed = selectedRooms(State, Spec, Config);
+WorkerState *bestWorker(ShardState &State, const JobSpec &Spec, const CellConfig &Config,
+                        const std::string &Avoid) {
+  const std::vector<char> &Allowed = selectedCandidates(State, Spec, Config);
   const PlacementConfig Weights = placementOf(Config, Spec.Partner);
-  WorkerBook *Best = nullptr;
-  WorkerBook *Avoided = nullptr;
+  WorkerState *Best = nullptr;
+  WorkerState *Avoided = nullptr;
   double BestScore = 0;
-  for (size_t I = 0; I < State.Rooms.size(); ++I) {
-    const WorkerRoom &Room = State.Rooms[I];
-    if (!Room.Usable || !Allowed[I] || !fits(Spec.Size, Room.Free))
+  for (size_t I = 0; I < State.Candidates.size(); ++I) {
+    const PlacementCandidate &Candidate = State.Candidates[I];
+    if (!Candidate.Usable || !Allowed[I] || !fits(Spec.Size, Candidate.Free))
       continue;
-    if (!Avoid.empty() && Room.Book->Box.Name == Avoid) {
-      Avoided = Room.Book;
+    if (!Avoid.empty() && Candidate.Worker->Box.Name == Avoid) {
+      Avoided = Candidate.Worker;
       continue;
     }
-    const double Score = scoreOf(Room, Spec, Weights);
+    const double Score = scoreOf(Candidate, Spec, Weights);
     if (Best && Score <= BestScore)
       continue;
-    Best = Room.Book;
+    Best = Candidate.Worker;
     BestScore = Score;
   }
   return Best ? Best : Avoided;
--- a/src/placement/placement_bench.cpp
+++ b/src/placement/placement_bench.cpp
@@ -13,9 +13,9 @@
 constexpr double TasksPerWorker = 42000.0 / 7700.0;
 
 // A shard with that many workers, each with its share of the letter's running tasks.
-class Cell {
+class LoadedShard {
 public:
-  explicit Cell(int Workers) {
+  explicit LoadedShard(int Workers) {
     BoxList Boxes;
     for (int I = 0; I < Workers; ++I) {
       BoxInfo Box;
@@ -43,7 +43,7 @@
     *Lend.mutable_spec() = specToWire(Spec);
     Lend.add_index(0);
     Lend.add_next_attempt(1);
-    adoptParts(State, Lend, Now);
+    adoptTasks(State, Lend, Now);
   }
 
   Decision place() {
@@ -52,10 +52,10 @@
   }
 
   // Ends one task, so that the cell stays as full as it was.
-  void endOne() {
-    auto Found = State.Parts.lower_bound({"j" + std::to_string(1 + Random() % Jobs), 0});
-    if (Found == State.Parts.end())
-      Found = State.Parts.begin();
+  void dropRandomTask() {
+    auto Found = State.AssignedTasks.lower_bound({"j" + std::to_string(1 + Random() % Jobs), 0});
+    if (Found == State.AssignedTasks.end())
+      Found = State.AssignedTasks.begin();
     wire::Record Drop;
     Drop.mutable_part_dropped()->mutable_key()->set_job(Found->first.Job);
     applyRecord(State, Drop, Now);
@@ -82,37 +82,37 @@
 };
 
 void placeOne(benchmark::State &Run) {
-  Cell Tried(static_cast<int>(Run.range(0)));
-  std::vector<double> Micros;
+  LoadedShard Shard(static_cast<int>(Run.range(0)));
+  std::vector<double> Latencies;
   for (auto Step : Run) {
     Run.PauseTiming();
-    Tried.endOne();
-    Tried.lend(JobClass::Urgent);
+    Shard.dropRandomTask();
+    Shard.lend(JobClass::Urgent);
     Run.ResumeTiming();
     const auto Before = std::chrono::steady_clock::now();
-    benchmark::DoNotOptimize(Tried.place());
-    Micros.push_back(
+    benchmark::DoNotOptimize(Shard.place());
+    Latencies.push_back(
         std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - Before)
             .count());
   }
-  std::sort(Micros.begin(), Micros.end());
-  Run.counters["p50_us"] = Micros[Micros.size() / 2];
-  Run.counters["p99_us"] = Micros[Micros.size() * 99 / 100];
+  std::sort(Latencies.begin(), Latencies.end());
+  Run.counters["p50_us"] = Latencies[Latencies.size() / 2];
+  Run.counters["p99_us"] = Latencies[Latencies.size() * 99 / 100];
 }
 BENCHMARK(placeOne)->Arg(100)->Arg(1000)->Arg(7700)->Arg(10000)->Iterations(3000);
 
 // A burst of decisions in one round, as under load.
 void placeBurst(benchmark::State &Run) {
   constexpr int Burst = 256;
-  Cell Tried(static_cast<int>(Run.range(0)));
+  LoadedShard Shard(static_cast<int>(Run.range(0)));
   for (auto Step : Run) {
     Run.PauseTiming();
     for (int I = 0; I < Burst; ++I) {
-      Tried.endOne();
-      Tried.lend(JobClass::Quick);
+      Shard.dropRandomTask();
+      Shard.lend(JobClass::Quick);
     }
     Run.ResumeTiming();
-    benchmark::DoNotOptimize(Tried.place());
+    benchmark::DoNotOptimize(Shard.place());
   }
   Run.SetItemsProcessed(Run.iterations() * Burst);
 }
@@ -138,7 +138,7 @@
     ShardState Fresh;
     for (const wire::Record &Record : Records)
       applyRecord(Fresh, Record, TimePoint{});
-    benchmark::DoNotOptimize(Fresh.Parts.size());
+    benchmark::DoNotOptimize(Fresh.AssignedTasks.size());
   }
   Run.counters["bytes_per_task"] = static_cast<double>(Bytes) / static_cast<double>(Run.range(0));
 }
--- a/src/placement/shard_directory.cpp
+++ b/src/placement/shard_directory.cpp
@@ -8,7 +8,7 @@
 namespace {
 // Room told longer ago than this is not counted on.
 constexpr std::chrono::seconds StaleAfter{10};
-constexpr size_t MaxCache = 1024;
+constexpr size_t MaxCachedShapes = 1024;
 
 std::string shapeKey(const JobSpec &Spec) {
   return Spec.BoxSelector + "|" + std::to_string(Spec.Size.MilliCores) + "|" +
@@ -42,42 +42,42 @@
   return Found == Workers.end() ? BoxList{} : Found->second;
 }
 
-void ShardDirectory::hear(const wire::ShardSummary &Summary, TimePoint Now) {
+void ShardDirectory::applySummary(const wire::ShardSummary &Summary, TimePoint Now) {
   std::lock_guard Lock(Mutex);
-  ShardRoom &Room = Rooms[Summary.shard()];
-  if (Summary.epoch() < Room.Epoch)
+  ShardLoad &Load = Loads[Summary.shard()];
+  if (Summary.epoch() < Load.Epoch)
     return;
   const auto Read = [](const wire::Resources &Wire) {
     return Resources{Wire.milli_cores(), Wire.memory_mb(), Wire.accelerators()};
   };
-  Room.Free = Read(Summary.free());
-  Room.LargestFree = Read(Summary.largest_free());
-  Room.Workers = Summary.workers();
-  Room.Queued = Summary.queued();
-  Room.Epoch = Summary.epoch();
-  Room.Heard = Now;
-  Room.Use.clear();
+  Load.Free = Read(Summary.free());
+  Load.LargestFree = Read(Summary.largest_free());
+  Load.Workers = Summary.workers();
+  Load.Queued = Summary.queued();
+  Load.Epoch = Summary.epoch();
+  Load.ReceivedAt = Now;
+  Load.Use.clear();
   for (const wire::TeamUse &Line : Summary.use())
-    Room.Use[Line.team()] = Read(Line.booked());
+    Load.Use[Line.team()] = Read(Line.booked());
 }
 
-Resources ShardDirectory::usedElsewhere(const std::string &Key, uint32_t But) const {
+Resources ShardDirectory::usedElsewhere(const std::string &Key, uint32_t ExceptShard) const {
   std::lock_guard Lock(Mutex);
   Resources Sum;
-  for (const auto &[Shard, Room] : Rooms) {
-    const auto Found = Room.Use.find(Key);
-    if (Shard != But && Found != Room.Use.end())
+  for (const auto &[Shard, Load] : Loads) {
+    const auto Found = Load.Use.find(Key);
+    if (Shard != ExceptShard && Found != Load.Use.end())
       Sum += Found->second;
   }
   return Sum;
 }
 
-std::map<uint32_t, ShardRoom> ShardDirectory::rooms() const {
+std::map<uint32_t, ShardLoad> ShardDirectory::loads() const {
   std::lock_guard Lock(Mutex);
-  return Rooms;
+  return Loads;
 }
 
-bool ShardDirectory::capable(const BoxInfo &Box, const JobSpec &Spec,
+bool ShardDirectory::canHold(const BoxInfo &Box, const JobSpec &Spec,
                              const Selector &Wanted) const {
   return fits(Spec.Size, Box.Capacity) && matches(Wanted, Box.Labels);
 }
@@ -90,17 +90,17 @@
   const std::string Key = shapeKey(Spec);
   if (const auto Found = CapableCache.find(Key); Found != CapableCache.end())
     return Found->second;
-  std::vector<uint32_t> Able;
+  std::vector<uint32_t> Capable;
   for (const auto &[Shard, List] : Workers)
     if (std::any_of(List.begin(), List.end(),
-                    [&](const BoxInfo &Box) { return capable(Box, Spec, value(Wanted)); }))
-      Able.push_back(Shard);
-  if (CapableCache.size() >= MaxCache)
+                    [&](const BoxInfo &Box) { return canHold(Box, Spec, value(Wanted)); }))
+      Capable.push_back(Shard);
+  if (CapableCache.size() >= MaxCachedShapes)
     CapableCache.clear();
-  return CapableCache[Key] = std::move(Able);
+  return CapableCache[Key] = std::move(Capable);
 }
 
-std::string ShardDirectory::whyImpossible(const JobSpec &Spec) const {
+std::string ShardDirectory::explainImpossible(const JobSpec &Spec) const {
   const Result<Selector> Wanted = parseSelector(Spec.BoxSelector);
   std::lock_guard Lock(Mutex);
   size_t Known = 0;
@@ -123,13 +123,14 @@
          std::to_string(Most.Accelerators) + " accelerators";
 }
 
-bool ShardDirectory::roomElsewhere(const JobSpec &Spec, uint32_t But, TimePoint Now) const {
+bool ShardDirectory::hasRoomElsewhere(const JobSpec &Spec, uint32_t ExceptShard,
+                                      TimePoint Now) const {
   for (const uint32_t Shard : capableShards(Spec)) {
-    if (Shard == But)
+    if (Shard == ExceptShard)
       continue;
     std::lock_guard Lock(Mutex);
-    const auto Found = Rooms.find(Shard);
-    const bool HasRoom = Found != Rooms.end() && Now - Found->second.Heard < StaleAfter &&
+    const auto Found = Loads.find(Shard);
+    const bool HasRoom = Found != Loads.end() && Now - Found->second.ReceivedAt < StaleAfter &&
                          Found->second.Queued == 0 && fits(Spec.Size, Found->second.LargestFree);
     if (HasRoom)
       return true;
@@ -138,9 +139,9 @@
 }
 
 std::vector<std::pair<uint32_t, uint32_t>>
-ShardDirectory::choose(const JobSpec &Spec, uint32_t Count, bool Pack, TimePoint Now) {
-  const std::vector<uint32_t> Able = capableShards(Spec);
-  if (Able.empty() || Count == 0)
+ShardDirectory::chooseShards(const JobSpec &Spec, uint32_t Count, bool Pack, TimePoint Now) {
+  const std::vector<uint32_t> Capable = capableShards(Spec);
+  if (Capable.empty() || Count == 0)
     return {};
   struct Offer {
     uint32_t Shard;
@@ -149,9 +150,9 @@
   };
   std::lock_guard Lock(Mutex);
   std::vector<Offer> Offers;
-  for (const uint32_t Shard : Able) {
-    const auto Found = Rooms.find(Shard);
-    if (Found == Rooms.end() || Now - Found->second.Heard >= StaleAfter ||
+  for (const uint32_t Shard : Capable) {
+    const auto Found = Loads.find(Shard);
+    if (Found == Loads.end() || Now - Found->second.ReceivedAt >= StaleAfter ||
         !fits(Spec.Size, Found->second.LargestFree))
       continue;
     const auto Times = static_cast<uint32_t>(timesFits(Spec.Size, Found->second.Free, Count));
@@ -168,25 +169,25 @@
       continue;
     Shares[O.Shard] += Take;
     Left -= Take;
-    ShardRoom &Room = Rooms[O.Shard];
+    ShardLoad &Load = Loads[O.Shard];
     for (uint32_t I = 0; I < Take; ++I)
-      Room.Free -= Spec.Size;
+      Load.Free -= Spec.Size;
   }
   // The rest waits where the queues are shortest for the boxes there are.
   while (Left > 0) {
-    uint32_t Best = Able.front();
+    uint32_t Best = Capable.front();
     double BestQueue = 1e18;
-    for (const uint32_t Shard : Able) {
-      const double Queue = static_cast<double>(Rooms[Shard].Queued + Shares[Shard]) /
+    for (const uint32_t Shard : Capable) {
+      const double Queue = static_cast<double>(Loads[Shard].Queued + Shares[Shard]) /
                            static_cast<double>(Workers[Shard].size() + 1);
       if (Queue < BestQueue) {
         Best = Shard;
         BestQueue = Queue;
       }
     }
-    const uint32_t Take = std::max<uint32_t>(1, Left / static_cast<uint32_t>(Able.size()));
+    const uint32_t Take = std::max<uint32_t>(1, Left / static_cast<uint32_t>(Capable.size()));
     Shares[Best] += Take;
-    Rooms[Best].Queued += Take;
+    Loads[Best].Queued += Take;
     Left -= std::min(Left, Take);
   }
   std::erase_if(Shares, [](const auto &Share) { return Share.second == 0; });
--- a/src/platform/worker_client.cpp
+++ b/src/platform/worker_client.cpp
@@ -53,10 +53,10 @@
   TaskReport Task;
   Task.Id = std::string(Object.at("id").as_string());
   const json::string &What = Object.at("state").as_string();
-  Task.What = What == "running"     ? TaskReport::State::Running
-              : What == "succeeded" ? TaskReport::State::Succeeded
-              : What == "failed"    ? TaskReport::State::Failed
-                                    : TaskReport::State::Stopped;
+  Task.Status = What == "running"     ? TaskReport::State::Running
+                : What == "succeeded" ? TaskReport::State::Succeeded
+                : What == "failed"    ? TaskReport::State::Failed
+                                      : TaskReport::State::Stopped;
   if (const json::value *Detail = Object.if_contains("detail"); Detail && Detail->is_string())
     Task.Detail = std::string(Detail->as_string());
   if (const json::value *Ended = Object.if_contains("ended_ms"); Ended && Ended->is_number())
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -16,17 +16,17 @@
 namespace asio = boost::asio;
 namespace {
 constexpr int MaxTries = 3;
-constexpr int HttpRefused = 503;
-constexpr size_t PieceSize = 16 * 1024;
+constexpr int HttpServiceUnavailable = 503;
+constexpr size_t ChunkSize = 16 * 1024;
 // A body up to this size is kept, so that the request can be tried at another instance.
 constexpr size_t MaxReplayBytes = 256 * 1024;
 // A member cut off from the store that owns no shard has lost its promises after so long.
-constexpr std::chrono::seconds PromisesOver{4};
+constexpr std::chrono::seconds PromiseTimeout{4};
 // A slot comes into use when the shares are next looked at, which the entry process does five times
 // a second; and with less than a tenth of a route's deadline left, a request that was given a slot
 // was sent and given up, so that its caller did not know whether it ran.
-constexpr Milliseconds SlotDelay{200};
-constexpr int LeastPartForWork = 10;
+constexpr Milliseconds SlotRefreshInterval{200};
+constexpr int MinWorkTimeDivisor = 10;
 constexpr std::string_view ServicePrefix = "/svc";
 
 Labels callerLabels(const HeaderList &Headers) {
@@ -42,22 +42,22 @@
   return Read;
 }
 
-bool underPrefix(std::string_view Path, std::string_view Prefix) {
+bool hasPathPrefix(std::string_view Path, std::string_view Prefix) {
   if (!Path.starts_with(Prefix))
     return false;
   return Path.size() == Prefix.size() || Prefix.back() == '/' || Path[Prefix.size()] == '/';
 }
 
 // Fields that this process writes itself.
-bool isReplaced(std::string_view Name) {
+bool isRewrittenHeader(std::string_view Name) {
   return boost::iequals(Name, "Content-Length") || boost::iequals(Name, "Host") ||
          boost::iequals(Name, "Expect");
 }
 
-HeaderList passedOn(const HeaderList &Headers) {
+HeaderList forwardedHeaders(const HeaderList &Headers) {
   HeaderList Kept;
   for (const auto &[Name, Value] : Headers)
-    if (!isHopByHop(Name) && !isReplaced(Name))
+    if (!isHopByHop(Name) && !isRewrittenHeader(Name))
       Kept.emplace_back(Name, Value);
   return Kept;
 }
@@ -81,16 +81,16 @@
 } // namespace
 
 // What the tries of one request share.
-struct Router::Attempt {
-  std::string Body;       ///< What was read from the caller so far, if it is kept.
-  bool BodyWhole = false; ///< All of the caller's body is in Body.
-  bool Streaming = false; ///< The body is too large to be kept: one try only.
-  bool Answered = false;  ///< A byte of the answer went to the caller.
+struct Router::RequestState {
+  std::string Body;          ///< What was read from the caller so far, if it is kept.
+  bool BodyComplete = false; ///< All of the caller's body is in Body.
+  bool Streaming = false;    ///< The body is too large to be kept: one try only.
+  bool Answered = false;     ///< A byte of the answer went to the caller.
   bool Repeatable = false;
   Error Last;
 
   // What was once sent and lost stays unknown, whatever later tries say.
-  void fail(const Error &Why) {
+  void recordError(const Error &Why) {
     if (Last.Kind != ErrorKind::UpstreamCut)
       Last = Why;
   }
@@ -98,15 +98,15 @@
 
 Router::Router(RouterTools Tools) : Tools(std::move(Tools)) {}
 
-void Router::joined() {
+void Router::onJoined() {
   std::lock_guard Lock(Mutex);
   Slots.JoinedAt = Tools.Time.Now();
-  Slots.SlotSince.clear();
+  Slots.OwnedSince.clear();
 }
 
 bool Router::ready() {
   std::lock_guard Lock(Mutex);
-  return slotsSettled(Slots, Tools.Time.Now());
+  return slotsReady(Slots, Tools.Time.Now());
 }
 
 // Who has a share of the slots: the members, and those whose lease is gone but who may still go
@@ -116,22 +116,22 @@
   for (const auto &[Log, Member] : View.Members)
     if (!Member.Leaving)
       Present[Member.Name] = Log;
-  for (const auto &[Name, Log] : LastSeen)
+  for (const auto &[Name, Log] : LastMembers)
     if (!Present.count(Name))
-      Away.emplace(Name, Vanished{Log, Now});
-  std::erase_if(Away, [&](const auto &Entry) {
+      DepartedMembers.emplace(Name, DepartedMember{Log, Now});
+  std::erase_if(DepartedMembers, [&](const auto &Entry) {
     const bool Owns = std::any_of(View.Owners.begin(), View.Owners.end(), [&](const auto &Owner) {
       return Owner.second.Log == Entry.second.Log && !Owner.second.Released;
     });
-    const bool Owned = Owns || Now - Entry.second.Since < PromisesOver;
+    const bool Owned = Owns || Now - Entry.second.Since < PromiseTimeout;
     return Present.count(Entry.first) > 0 || !Owned;
   });
-  LastSeen = Present;
+  LastMembers = Present;
   std::vector<std::string> Holders;
-  Holders.reserve(Present.size() + Away.size());
+  Holders.reserve(Present.size() + DepartedMembers.size());
   for (const auto &[Name, Log] : Present)
     Holders.push_back(Name);
-  for (const auto &[Name, Gone] : Away)
+  for (const auto &[Name, Gone] : DepartedMembers)
     Holders.push_back(Name);
   std::sort(Holders.begin(), Holders.end());
   return Holders;
@@ -151,7 +151,7 @@
         if (Box.Kind == BoxKind::Upstream && Box.Service == Service.Name &&
             matches(Service.Instances, Box.Labels))
           Instances.push_back(Box);
-      shareSlots(Slots, Service.Name, Instances, Service.Slots, Members, Tools.Member, Now);
+      assignSlots(Slots, Service.Name, Instances, Service.Slots, Members, Tools.Member, Now);
     }
 }
 
@@ -165,7 +165,7 @@
   for (const auto &[Partner, Part] : Config->Partners)
     for (const RouteConfig &Route : Part.Routes) {
       const bool Longer = !Best || Route.Prefix.size() > Best->Prefix.size();
-      if (!Longer || !underPrefix(Path, Route.Prefix) || !matches(Route.Callers, Caller))
+      if (!Longer || !hasPathPrefix(Path, Route.Prefix) || !matches(Route.Callers, Caller))
         continue;
       Best = &Route;
       Owner = &Part;
@@ -182,30 +182,31 @@
 
 bool Router::knowsInstances(const std::string &Service) {
   std::lock_guard Lock(Mutex);
-  return firstSlot(Slots, Service, Tools.Time.Now()).has_value();
+  return earliestSlot(Slots, Service, Tools.Time.Now()).has_value();
 }
 
 // Called under Mutex. Why a request that finds no slot free need not wait for one; empty: it may
 // get one in time. Held until its deadline it would learn nothing more, and its caller would not
 // ask another process meanwhile (four callers got 114 answers in 9.7 s while three processes were
 // stopped and started again in turn, and 531 with this).
-std::optional<Router::NoSlot> Router::refusal(const Target &To, TimePoint Deadline,
-                                              TimePoint Now) const {
+std::optional<Router::SlotRefusal> Router::refusal(const Target &To, TimePoint Deadline,
+                                                   TimePoint Now) const {
   const std::string &Service = To.Service.Name;
   const auto Refused = [&](const std::string &Why, std::chrono::seconds RetryAfter) {
-    return NoSlot{{ErrorKind::Overloaded, Why}, RetryAfter};
+    return SlotRefusal{{ErrorKind::Overloaded, Why}, RetryAfter};
   };
   const std::chrono::seconds Usual = answerFor(ErrorKind::Overloaded).RetryAfter;
   if (!Tools.MayAct())
     return Refused("this process may not use its share of the slots now", Usual);
-  const std::optional<TimePoint> First = firstSlot(Slots, Service, Now);
+  const std::optional<TimePoint> First = earliestSlot(Slots, Service, Now);
   if (!First)
     return Refused("no instance of " + Service + " is known here", Usual);
   if (*First == TimePoint::max())
     return Refused("this process has no slot of " + Service, Usual);
   // Other members use these slots meanwhile; a caller that asks one of them need not wait.
   const bool IsAlone = Tools.View()->Members.size() < 2;
-  if (*First > Now && *First + SlotDelay + To.Route.Deadline / LeastPartForWork > Deadline)
+  if (*First > Now &&
+      *First + SlotRefreshInterval + To.Route.Deadline / MinWorkTimeDivisor > Deadline)
     return Refused("the slots of " + Service + " can't be used here before the deadline",
                    IsAlone ? std::chrono::ceil<std::chrono::seconds>(*First - Now) : Usual);
   const auto Waiting = Slots.Services.find(Service);
@@ -218,7 +219,7 @@
   return std::nullopt;
 }
 
-Awaitable<std::variant<SlotGrant, Router::NoSlot>>
+Awaitable<std::variant<SlotGrant, Router::SlotRefusal>>
 Router::acquire(const Target &To, TimePoint Deadline, const std::string &Avoid) {
   struct Wait {
     SteadyTimer Timer;
@@ -254,22 +255,22 @@
     co_return *Waiting->Granted;
   std::erase_if(Slots.Services[Service].Waiting,
                 [&](const auto &Entry) { return Entry.second == Waiter; });
-  co_return NoSlot{{ErrorKind::Overloaded, "no slot of " + Service + " came free in time"},
-                   answerFor(ErrorKind::Overloaded).RetryAfter};
+  co_return SlotRefusal{{ErrorKind::Overloaded, "no slot of " + Service + " came free in time"},
+                        answerFor(ErrorKind::Overloaded).RetryAfter};
 }
 
 namespace {
 // Sends the rest of the caller's body as it comes.
 Awaitable<Result<Done>> streamBody(HttpExchange &Exchange, HttpCall &Call) {
-  std::array<char, PieceSize> Room;
+  std::array<char, ChunkSize> Buffer;
   while (true) {
-    Result<size_t> Read = co_await Exchange.readBody(Room);
+    Result<size_t> Read = co_await Exchange.readBody(Buffer);
     if (!ok(Read))
       co_return error(Read);
     if (value(Read) == 0)
       co_return co_await Call.finishBody();
-    const std::span<const char> Piece(Room.data(), value(Read));
-    Result<Done> Sent = co_await Call.writeBody(Piece);
+    const std::span<const char> Chunk(Buffer.data(), value(Read));
+    Result<Done> Sent = co_await Call.writeBody(Chunk);
     if (!ok(Sent))
       co_return Sent;
   }
@@ -277,15 +278,15 @@
 
 // Passes the answer's body on. False: it was cut on either side.
 Awaitable<bool> streamAnswer(HttpExchange &Exchange, HttpCall &Call) {
-  std::array<char, PieceSize> Room;
+  std::array<char, ChunkSize> Buffer;
   while (true) {
-    Result<size_t> Read = co_await Call.readBody(Room);
+    Result<size_t> Read = co_await Call.readBody(Buffer);
     if (!ok(Read))
       co_return false;
     if (value(Read) == 0)
       co_return co_await Exchange.finish();
-    const std::span<const char> Piece(Room.data(), value(Read));
-    if (!co_await Exchange.writeBody(Piece))
+    const std::span<const char> Chunk(Buffer.data(), value(Read));
+    if (!co_await Exchange.writeBody(Chunk))
       co_return false;
   }
 }
@@ -293,20 +294,20 @@
 
 // One try at one instance. True: the request has its answer, whole or cut. False: State.Last
 // says why not, and nothing of an answer went to the caller.
-Awaitable<bool> Router::attempt(HttpExchange &Exchange, const SlotGrant &Slot, TimePoint Deadline,
-                                Attempt &State) {
+Awaitable<bool> Router::tryInstance(HttpExchange &Exchange, const SlotGrant &Slot,
+                                    TimePoint Deadline, RequestState &State) {
   CallOptions Options;
   Options.Timeout = std::max(std::chrono::duration_cast<Milliseconds>(Deadline - Tools.Time.Now()),
                              Milliseconds(1));
   Options.FreshConnection = !State.Repeatable;
   Result<std::shared_ptr<HttpCall>> Opened = co_await Tools.Client.open(Slot.Address, Options);
   if (!ok(Opened)) {
-    State.fail(error(Opened));
+    State.recordError(error(Opened));
     co_return false;
   }
   const std::shared_ptr<HttpCall> Call = value(Opened);
   HttpRequest Head{Exchange.method(), Exchange.target().substr(ServicePrefix.size()),
-                   passedOn(Exchange.headers()), ""};
+                   forwardedHeaders(Exchange.headers()), ""};
   std::optional<uint64_t> Length = State.Body.size();
   if (State.Streaming)
     Length = declaredLength(Exchange.headers());
@@ -316,59 +317,60 @@
   if (ok(Sent) && State.Streaming)
     Sent = co_await streamBody(Exchange, *Call);
   if (!ok(Sent)) {
-    State.fail(error(Sent));
+    State.recordError(error(Sent));
     co_return false;
   }
   Result<HttpResponse> Answer = co_await Call->readHead();
   if (!ok(Answer)) {
-    State.fail(error(Answer));
+    State.recordError(error(Answer));
     co_return false;
   }
   HttpResponse &Got = value(Answer);
   // An upstream that says so itself has surely not run the request.
-  if (Got.Status == HttpRefused && findHeader(Got.Headers, "Valveshelf-Outcome") == "not-run") {
-    State.fail({ErrorKind::UpstreamUnavailable, Slot.Instance + " refused the request"});
+  if (Got.Status == HttpServiceUnavailable &&
+      findHeader(Got.Headers, "Valveshelf-Outcome") == "not-run") {
+    State.recordError({ErrorKind::UpstreamUnavailable, Slot.Instance + " refused the request"});
     co_return false;
   }
   State.Answered = true;
-  HeaderList Headers = passedOn(Got.Headers);
+  HeaderList Headers = forwardedHeaders(Got.Headers);
   Headers.emplace_back("Valveshelf-Outcome", "ran");
   Headers.emplace_back("Valveshelf-Upstream", Slot.Instance);
   if (!co_await Exchange.writeHead(Got.Status, Headers, declaredLength(Got.Headers)))
     co_return true;
   // A cut answer is left unfinished, so the caller can't take it for whole.
   if (!co_await streamAnswer(Exchange, *Call))
-    ++Figures.Cut;
+    ++Stats.Truncated;
   co_return true;
 }
 
 Awaitable<void> Router::serve(HttpExchange &Exchange) {
   Result<Target> Matched = match(Exchange);
   if (!ok(Matched)) {
-    ++Figures.Refused;
+    ++Stats.Refused;
     co_return co_await sendWhole(Exchange, errorResponse(error(Matched)));
   }
   const Target &To = value(Matched);
   const TimePoint Deadline =
       Tools.Time.Now() + callerDeadline(Exchange.headers(), To.Route.Deadline);
-  Attempt State;
+  RequestState State;
   State.Repeatable =
       To.Route.Repeatable && findHeader(Exchange.headers(), "Valveshelf-Repeatable") != "no";
   // A small body is read first, so that a request that surely did not run can be tried again.
-  std::array<char, PieceSize> Room;
-  while (Exchange.hasBody() && !State.BodyWhole && State.Body.size() < MaxReplayBytes) {
-    Result<size_t> Read = co_await Exchange.readBody(Room);
+  std::array<char, ChunkSize> Buffer;
+  while (Exchange.hasBody() && !State.BodyComplete && State.Body.size() < MaxReplayBytes) {
+    Result<size_t> Read = co_await Exchange.readBody(Buffer);
     if (!ok(Read))
       co_return co_await sendWhole(Exchange, errorResponse(error(Read)));
-    State.BodyWhole = value(Read) == 0;
-    State.Body.append(Room.data(), value(Read));
+    State.BodyComplete = value(Read) == 0;
+    State.Body.append(Buffer.data(), value(Read));
   }
-  State.Streaming = Exchange.hasBody() && !State.BodyWhole;
+  State.Streaming = Exchange.hasBody() && !State.BodyComplete;
   std::string Avoid;
   std::optional<std::chrono::seconds> RetryAfter;
   for (int Try = 1; Try <= MaxTries; ++Try) {
-    const std::variant<SlotGrant, NoSlot> Answer = co_await acquire(To, Deadline, Avoid);
-    if (const NoSlot *Refused = std::get_if<NoSlot>(&Answer)) {
+    const std::variant<SlotGrant, SlotRefusal> Answer = co_await acquire(To, Deadline, Avoid);
+    if (const SlotRefusal *Refused = std::get_if<SlotRefusal>(&Answer)) {
       if (Try == 1) {
         State.Last = Refused->Why;
         RetryAfter = Refused->RetryAfter;
@@ -376,13 +378,13 @@
       break;
     }
     const SlotGrant &Slot = std::get<SlotGrant>(Answer);
-    const bool Answered = co_await attempt(Exchange, Slot, Deadline, State);
+    const bool Answered = co_await tryInstance(Exchange, Slot, Deadline, State);
     {
       std::lock_guard Lock(Mutex);
-      giveBack(Slots, Slot, !Answered, Tools.Time.Now());
+      releaseSlot(Slots, Slot, !Answered, Tools.Time.Now());
     }
     if (Answered) {
-      ++Figures.Served;
+      ++Stats.Served;
       co_return;
     }
     logEvent(events::UpstreamFailed,
@@ -392,9 +394,9 @@
     const bool MayRetry = (SurelyNotRun || State.Repeatable) && !State.Streaming;
     if (!MayRetry || State.Last.Kind == ErrorKind::BadRequest || Tools.Time.Now() >= Deadline)
       break;
-    ++Figures.Retried;
+    ++Stats.Retried;
   }
-  ++Figures.Refused;
+  ++Stats.Refused;
   logEvent(events::RequestRefused, {{"kind", std::string(answerFor(State.Last.Kind).Name)},
                                     {"target", Exchange.target()},
                                     {"why", "\"" + State.Last.Detail + "\""}});
--- a/src/routing/router_test.cpp
+++ b/src/routing/router_test.cpp
@@ -42,11 +42,11 @@
 protected:
   RouterTest()
       : Client(Io.get_executor()), Directory(1),
-        Requests({Io.get_executor(), Clock{[this] { return Steady::now() - Behind; }, wallNow},
+        Requests({Io.get_executor(), Clock{[this] { return Steady::now() - ClockLag; }, wallNow},
                   Client, Directory, [this] { return Config; }, [this] { return View; },
                   [] { return true; }, "e1"}) {
-    auto Given = std::make_shared<CellConfig>();
-    Given->Version = 1;
+    auto NewConfig = std::make_shared<CellConfig>();
+    NewConfig->Version = 1;
     ServiceConfig Service;
     Service.Name = "registry";
     Service.Slots = 8;
@@ -54,9 +54,9 @@
     Route.Prefix = "/registry";
     Route.Service = "registry";
     Route.Deadline = 2s;
-    Given->Partners["olano"].Services = {Service};
-    Given->Partners["olano"].Routes = {Route};
-    Config = Given;
+    NewConfig->Partners["olano"].Services = {Service};
+    NewConfig->Partners["olano"].Routes = {Route};
+    Config = NewConfig;
     setMembers({"e1"});
     BoxInfo Upstream;
     Upstream.Name = "u1";
@@ -68,10 +68,10 @@
 
   // The process has joined the cell so long ago.
   void join(Milliseconds Ago) {
-    Behind = Ago;
-    Requests.joined();
+    ClockLag = Ago;
+    Requests.onJoined();
     Requests.refresh();
-    Behind = 0ms;
+    ClockLag = 0ms;
   }
 
   void setMembers(const std::vector<std::string> &Names) {
@@ -83,15 +83,15 @@
 
   // Serves one request; how long it was held.
   Milliseconds serve(FakeExchange &Exchange) {
-    const TimePoint Began = Steady::now();
-    bool Over = false;
-    asio::co_spawn(Io, Requests.serve(Exchange), [&](std::exception_ptr) { Over = true; });
+    const TimePoint StartedAt = Steady::now();
+    bool Finished = false;
+    asio::co_spawn(Io, Requests.serve(Exchange), [&](std::exception_ptr) { Finished = true; });
     Io.restart();
-    while (!Over) {
+    while (!Finished) {
       Requests.refresh();
       Io.run_one_for(20ms);
     }
-    return std::chrono::duration_cast<Milliseconds>(Steady::now() - Began);
+    return std::chrono::duration_cast<Milliseconds>(Steady::now() - StartedAt);
   }
 
   static std::string retryAfter(const FakeExchange &Exchange) {
@@ -99,7 +99,7 @@
   }
 
   asio::io_context Io;
-  Milliseconds Behind{0}; ///< How far the process's clock is behind, to set up what was before.
+  Milliseconds ClockLag{0}; ///< How far the process's clock is behind, to set up what was before.
   HttpClient Client;
   ShardDirectory Directory;
   std::shared_ptr<const CellConfig> Config;
@@ -112,7 +112,7 @@
 // 2.0 s for a refusal by the process that had just come back:
 //   stop e1 13 to 47 ms; e1 not-run 503 after 2001 ms, asked at 172 ms
 // A slot is used 3 s after it moved here, so that it was clear at once that none would be in time.
-TEST_F(RouterTest, RefusesAtOnceWhatNoSlotCanServeInTime) {
+TEST_F(RouterTest, RefusesAtOnceIfNoSlotIsUsableBeforeTheDeadline) {
   join(200ms);
   FakeExchange Exchange;
   EXPECT_LT(serve(Exchange), 500ms);
@@ -122,7 +122,7 @@
 }
 
 // Others can serve the caller at once.
-TEST_F(RouterTest, TellsCallersToComeAgainSoonWhereOthersHaveSlots) {
+TEST_F(RouterTest, SuggestsEarlyRetryIfOtherProcessesHaveSlots) {
   setMembers({"e1", "e2"});
   join(200ms);
   FakeExchange Exchange;
@@ -131,19 +131,19 @@
 }
 
 // The same at a process that has handed its slots on.
-TEST_F(RouterTest, RefusesAtOnceWhereItHasNoSlotAtAll) {
+TEST_F(RouterTest, RefusesAtOnceIfItOwnsNoSlot) {
   join(20s);
-  Behind = 10s;
+  ClockLag = 10s;
   setMembers({"e2"});
   Requests.refresh();
-  Behind = 0ms;
+  ClockLag = 0ms;
   FakeExchange Exchange;
   EXPECT_LT(serve(Exchange), 500ms);
   EXPECT_EQ(Exchange.Answer.Status, 503);
 }
 
 // The list of boxes has not been read yet.
-TEST_F(RouterTest, RefusesAtOnceWhereNoInstanceIsKnown) {
+TEST_F(RouterTest, RefusesAtOnceIfNoInstanceIsKnown) {
   Directory.setBoxes({});
   join(10s);
   FakeExchange Exchange;
@@ -153,7 +153,7 @@
 
 // The slot would come at the very end of the deadline: the request would be sent and given up, and
 // its caller would not know whether it ran.
-TEST_F(RouterTest, RefusesAtOnceWhatASlotWouldComeTooLateFor) {
+TEST_F(RouterTest, RefusesAtOnceIfASlotIsUsableTooCloseToTheDeadline) {
   join(1050ms);
   FakeExchange Exchange;
   EXPECT_LT(serve(Exchange), 500ms);
@@ -161,12 +161,12 @@
 }
 
 // A slot that can be used within the deadline is waited for.
-TEST_F(RouterTest, WaitsForASlotThatComesInTime) {
+TEST_F(RouterTest, WaitsForASlotUsableBeforeTheDeadline) {
   join(1500ms);
   FakeExchange Exchange;
-  const Milliseconds Held = serve(Exchange);
-  EXPECT_GE(Held, 1300ms);
-  EXPECT_LT(Held, 2000ms);
+  const Milliseconds Waited = serve(Exchange);
+  EXPECT_GE(Waited, 1300ms);
+  EXPECT_LT(Waited, 2000ms);
   EXPECT_NE(Exchange.Answer.Body.find("upstream-unavailable"), std::string::npos)
       << "the slot was used: " << Exchange.Answer.Body;
 }
--- a/testsuite/session/player.cpp
+++ b/testsuite/session/player.cpp
@@ -46,13 +46,13 @@
     else if (Name == "list")
       list(Args);
     else if (Name == "silent")
-      take(onWorkerSilent(State, Args.at(0), Args.size() > 1, Limits));
+      take(onWorkerCallFailed(State, Args.at(0), Args.size() > 1, Limits));
     else if (Name == "gone")
       gone(Args.at(0));
     else if (Name == "cancel")
-      take(onCancelParts(State, {key(Args.at(0))}, wall()));
+      take(onCancelTasks(State, {key(Args.at(0))}, wall()));
     else if (Name == "drop")
-      take(dropParts(State, {key(Args.at(0))}, Now));
+      take(dropTasks(State, {key(Args.at(0))}, Now));
     else if (Name == "advance")
       Now += Milliseconds(std::stoll(Args.at(0)));
     else if (Name == "tick")
@@ -137,7 +137,7 @@
       Request.add_next_attempt(Attempt);
     Spec.Count = 100;
     *Request.mutable_spec() = specToWire(Spec);
-    take(adoptParts(State, Request, Now));
+    take(adoptTasks(State, Request, Now));
   }
 
   void answer(const std::vector<std::string> &Args) {
@@ -146,7 +146,7 @@
     const StartAnswer Answer = What == "accepted"   ? StartAnswer::Accepted
                                : What == "not-sent" ? StartAnswer::NotSent
                                                     : StartAnswer::Unanswered;
-    take(onStartAnswer(State, Key, State.Parts.at(Key).Attempt, Answer, Limits, Now));
+    take(onStartAnswer(State, Key, State.AssignedTasks.at(Key).Attempt, Answer, Limits, Now));
   }
 
   void list(const std::vector<std::string> &Args) {
@@ -166,13 +166,14 @@
       TaskReport Task;
       Task.Id = Args[I].substr(0, Equals);
       const std::string What = Args[I].substr(Equals + 1);
-      Task.What = What == "running"     ? TaskReport::State::Running
-                  : What == "succeeded" ? TaskReport::State::Succeeded
-                  : What == "failed"    ? TaskReport::State::Failed
-                                        : TaskReport::State::Stopped;
+      Task.Status = What == "running"     ? TaskReport::State::Running
+                    : What == "succeeded" ? TaskReport::State::Succeeded
+                    : What == "failed"    ? TaskReport::State::Failed
+                                          : TaskReport::State::Stopped;
       const auto Id = parseWorkerTaskId(Task.Id);
-      const auto Part = Id ? State.Parts.find(Id->first) : State.Parts.end();
-      Task.Size = Part == State.Parts.end() ? Resources{1000, 512, 0} : Part->second.Spec->Size;
+      const auto Part = Id ? State.AssignedTasks.find(Id->first) : State.AssignedTasks.end();
+      Task.Size =
+          Part == State.AssignedTasks.end() ? Resources{1000, 512, 0} : Part->second.Spec->Size;
       Report.Tasks.push_back(Task);
     }
     take(onWorkerReport(State, Args[0], Report, true, Limits, AskedAt, Now, wall()));
@@ -199,7 +200,7 @@
       Out << "  start   " << workerTaskId(Start.Key, Start.Attempt) << " on " << Start.Worker
           << "\n";
     for (const ControlEffect &Control : What.Controls)
-      Out << "  " << (Control.What == ControlEffect::Action::Stop ? "stop    " : "throttle ")
+      Out << "  " << (Control.Kind == ControlEffect::Action::Stop ? "stop    " : "throttle ")
           << Control.TaskId << " on " << Control.Worker << "\n";
     for (const ForgetEffect &Forget : What.Forgets)
       Out << "  forget  " << Forget.TaskId << " on " << Forget.Worker << "\n";
@@ -213,7 +214,7 @@
       Out << "  book    " << Name << " " << healthName(Book->Health) << " booked "
           << Book->Booked.MilliCores << "/" << Book->Box.Capacity.MilliCores << " cores "
           << Book->Booked.MemoryMb << "/" << Book->Box.Capacity.MemoryMb << " MB\n";
-    for (const auto &[Key, Task] : State.Parts)
+    for (const auto &[Key, Task] : State.AssignedTasks)
       Out << "  part    " << toString(Key) << " " << phaseName(Task.Phase) << " attempt "
           << Task.Attempt << (Task.Worker.empty() ? "" : " on " + Task.Worker)
           << (Task.Outcome == TaskOutcome::None ? "" : " ")
