--- a/src/cell/caller_api.cpp
+++ b/src/cell/caller_api.cpp
@@ -72,8 +72,7 @@
     return std::string();
   if (Config.hasStaleKeys())
     return Error{ErrorKind::StoreUnavailable, "keys can't be confirmed just now"};
-  const Organisation *Of =
-      Request.Key ? findKeyOwner(Config.callerKeys(), *Request.Key) : nullptr;
+  const Organisation *Of = Request.Key ? findKeyOwner(Config.callerKeys(), *Request.Key) : nullptr;
   if (!Of)
     return Error{ErrorKind::UnknownKey, Request.Key ? "the key is not in force"
                                                     : "a key is needed here, one and well formed"};
@@ -123,8 +122,8 @@
   Spec.Service = To.Service;
   Spec.Priority = To.Priority;
   Spec.MaxAttempts = To.MaxAttempts;
-  Spec.Extension = To.Extension;
-  Spec.Target = To.Target;
+  Spec.CriticalPathFactor = To.CriticalPathFactor;
+  Spec.ObjectiveSlack = To.ObjectiveSlack;
   Spec.Advice = To.Advice;
   Spec.AcceptedAt = Time.Wall();
   const TimePoint ReceivedAt = Time.Now();
--- a/src/cell/cell_metrics.cpp
+++ b/src/cell/cell_metrics.cpp
@@ -143,7 +143,7 @@
   Inner->Gauges.at(Metric.Name)->Set(Value);
 }
 
-void CellMetrics::setTraffic(const TrafficBook &Traffic) {
+void CellMetrics::setTraffic(const TrafficStats &Traffic) {
   const auto AdvanceTo = [&](const MetricDescriptor &Metric, const std::string &Case,
                              uint64_t Total) {
     prometheus::Counter &Counter = Inner->Counters.at(Metric.Name)->Add({{"case", Case}});
@@ -151,8 +151,8 @@
   };
   for (const auto &[Case, Counts] : Traffic.Kinds) {
     AdvanceTo(metrics::Messages, Case, Counts.Calls);
-    AdvanceTo(metrics::MessageBytes, Case, Counts.Sent + Counts.Received);
-    AdvanceTo(metrics::ConnectionsOpened, Case, Counts.Opened);
+    AdvanceTo(metrics::MessageBytes, Case, Counts.BytesSent + Counts.BytesReceived);
+    AdvanceTo(metrics::ConnectionsOpened, Case, Counts.ConnectionsOpened);
   }
 }
 
--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -56,10 +56,11 @@
             },
             [this] { return otherPeers(); },
             [this](Steady::duration Latency) { Metrics.observe(metrics::StoreSeconds, Latency); }),
-        Store(this->Platform.OpenStore([this](StoreCall Call) { return Router.call(std::move(Call)); })),
+        Store(this->Platform.OpenStore(
+            [this](StoreCall Call) { return Router.call(std::move(Call)); })),
         View(Where, Store, Settings, [this] { Lead.viewChanged(); }),
-        Config(Where, Time, Store, Settings, this->Platform.Operators, this->Platform.DecodeConfiguration,
-               configWatchCallbacks()),
+        Config(Where, Time, Store, Settings, this->Platform.Operators,
+               this->Platform.DecodeConfiguration, configWatchCallbacks()),
         In(
             Where, Store, Time, Settings, [this] { return Router.isUnresponsive(); },
             [this](IntakeUpdate News) { announce(std::move(News)); }),
@@ -104,7 +105,8 @@
     while (Time.Now() - StartedAt < BalancerDrainTime)
       co_await sleepFor(StopPollInterval);
     Callers.stopAccepting();
-    while (Callers.inProgress() > 0 && Time.Now() - StartedAt < Settings.Timing.StopGrace - StopMargin)
+    while (Callers.inProgress() > 0 &&
+           Time.Now() - StartedAt < Settings.Timing.StopGrace - StopMargin)
       co_await sleepFor(StopPollInterval);
     logEvent(events::Stopped, {{"in_progress", std::to_string(Callers.inProgress())}});
     Finished(0);
@@ -159,7 +161,7 @@
   }
 
   Awaitable<Result<PeerConfiguration>> fetchConfiguration(Endpoint Peer, uint64_t Have,
-                                                        Milliseconds Wait) {
+                                                          Milliseconds Wait) {
     cell::ConfigurationRequest Request;
     Request.set_have_version(Have);
     Request.set_wait_ms(Wait.count());
@@ -219,7 +221,7 @@
 
   // Advice is asked for here, or by a peer on this process's behalf.
   Awaitable<Result<Advice>> askAdvice(std::string Lane, StepKey Step,
-                                       std::vector<std::string> Workers, Milliseconds Timeout) {
+                                      std::vector<std::string> Workers, Milliseconds Timeout) {
     if (Lane == Settings.Member)
       co_return co_await Platform.Advice.Ask(Step, std::move(Workers), Timeout);
     const auto &Members = View.snapshot().Members;
@@ -271,7 +273,9 @@
 
   CellHandlers peerHandlers() {
     CellHandlers Handlers;
-    Handlers.Advise = [this](cell::AdviseRequest Request) { return handleAdvise(std::move(Request)); };
+    Handlers.Advise = [this](cell::AdviseRequest Request) {
+      return handleAdvise(std::move(Request));
+    };
     Handlers.JobState = [this](cell::JobStateRequest Request) -> Awaitable<cell::JobStateReply> {
       co_return Api.jobState(Request);
     };
@@ -297,7 +301,9 @@
     Handlers.Configuration = [this](cell::ConfigurationRequest Request) {
       return handleConfiguration(std::move(Request));
     };
-    Handlers.StoreCall = [this](cell::StoreCallRequest Request) { return handleStoreCall(std::move(Request)); };
+    Handlers.StoreCall = [this](cell::StoreCallRequest Request) {
+      return handleStoreCall(std::move(Request));
+    };
     return Handlers;
   }
 
@@ -357,7 +363,8 @@
   }
 
   // A call to the store through a peer, and one for a peer.
-  Awaitable<Result<HttpResponse>> relayStoreCall(Endpoint Peer, HttpRequest Request, Milliseconds Timeout) {
+  Awaitable<Result<HttpResponse>> relayStoreCall(Endpoint Peer, HttpRequest Request,
+                                                 Milliseconds Timeout) {
     cell::StoreCallRequest Message;
     Message.set_method(std::move(Request.Method));
     Message.set_target(std::move(Request.Target));
@@ -420,10 +427,10 @@
     HttpResponse Answer = errorResponse({ErrorKind::NotFound, "there is no page " + Path});
     if (Path == "/metrics") {
       Metrics.set(metrics::LogLinesLeftOut, static_cast<double>(logLinesLeftOut()));
-      Metrics.setTraffic(Meter.book());
+      Metrics.setTraffic(Meter.stats());
       Answer = {HttpOk, {{"Content-Type", "text/plain; version=0.0.4"}}, Metrics.text()};
     } else if (Path == "/v1/load") {
-      Answer = jsonResponse(HttpOk, encodeTraffic(Meter.book()) + "\n");
+      Answer = jsonResponse(HttpOk, encodeTraffic(Meter.stats()) + "\n");
     } else if (Path == "/v1/burn") {
       Answer = co_await boost::asio::co_spawn(Where, burn(), boost::asio::use_awaitable);
     } else if (Path.starts_with(JobsPath) && Path.ends_with(ExplainPath)) {
@@ -457,7 +464,8 @@
   }
 
   Awaitable<void> serveReadiness(HttpExchange &Exchange) {
-    const bool Ready = !Stopping && Config.current() && Router.failingFor() < UnreadyAfterStoreFailure;
+    const bool Ready =
+        !Stopping && Config.current() && Router.failingFor() < UnreadyAfterStoreFailure;
     if (Ready != WasReady)
       logEvent(
           Ready ? events::BecameReady : events::BecameUnready,
--- a/src/cell/compacted_history_test.cpp
+++ b/src/cell/compacted_history_test.cpp
@@ -72,7 +72,8 @@
   Watched Given;
   Given.Store.put("op/evacuate/z1", "{}", 0);
   ConfigWatchCallbacks Callbacks;
-  Callbacks.FetchFromPeer = [](Endpoint, uint64_t, Milliseconds) -> Awaitable<Result<PeerConfiguration>> {
+  Callbacks.FetchFromPeer = [](Endpoint, uint64_t,
+                               Milliseconds) -> Awaitable<Result<PeerConfiguration>> {
     co_return Error{ErrorKind::UpstreamCut, "silent"};
   };
   Callbacks.Peers = [] { return std::vector<Endpoint>(); };
--- a/src/cell/config_watch.cpp
+++ b/src/cell/config_watch.cpp
@@ -54,7 +54,8 @@
 }
 
 void ConfigWatch::applyZoneChange(const KeyChange &Change) {
-  if (!Change.Item.Key.starts_with(Keys.EvacuationPrefix) || Change.Item.Revision < Evacuated.AsOf)
+  if (!Change.Item.Key.starts_with(Keys.EvacuationPrefix) ||
+      Change.Item.Revision < Evacuated.Revision)
     return;
   EvacuatedZones Now{Evacuated.Names, Change.Item.Revision};
   const std::string Zone = Change.Item.Key.substr(Keys.EvacuationPrefix.size());
@@ -66,10 +67,10 @@
 }
 
 void ConfigWatch::applyZones(EvacuatedZones Now) {
-  if (Now.AsOf < Evacuated.AsOf)
+  if (Now.Revision < Evacuated.Revision)
     return; // answers may overtake each other
   const EvacuatedZones Before = std::exchange(Evacuated, std::move(Now));
-  const std::string Revision = std::to_string(Evacuated.AsOf);
+  const std::string Revision = std::to_string(Evacuated.Revision);
   for (const std::string &Zone : Evacuated.Names)
     if (!Before.Names.count(Zone))
       logEvent(events::EvacuationBegun, {{"zone", Zone}, {"revision", Revision}});
@@ -88,8 +89,8 @@
   }
   if (value(Decoded).Version <= version())
     return;
-  CallerKeyIndex = makeKeyIndex(std::make_shared<const CellConfiguration>(std::move(value(Decoded))),
-                          CallerKeyIndex.Seed);
+  CallerKeyIndex = makeKeyIndex(
+      std::make_shared<const CellConfiguration>(std::move(value(Decoded))), CallerKeyIndex.Seed);
   EncodedConfiguration = Encoded;
   for (SteadyTimer *Held : HeldReplies)
     Held->cancel();
@@ -157,7 +158,7 @@
 
 // What a process of a large cell hears from those that watch the store.
 Awaitable<void> ConfigWatch::peerPollLoop() {
-  int FailedPeers = 0;        // peers in a row
+  int FailedPeers = 0;   // peers in a row
   bool Answered = false; // the peer that is next has answered just now
   while (!Stopped) {
     const std::vector<Endpoint> Watchers = Callbacks.Watchers();
@@ -167,8 +168,8 @@
     }
     // A peer that may be gone is not waited for: several in a row would hide a change for too long.
     const bool MayHold = Answered && version() != 0;
-    Answered =
-        co_await fetchFromPeer(Watchers[NextPeer % Watchers.size()], MayHold ? MaxPeerHold : Milliseconds(0));
+    Answered = co_await fetchFromPeer(Watchers[NextPeer % Watchers.size()],
+                                      MayHold ? MaxPeerHold : Milliseconds(0));
     FailedPeers = Answered ? 0 : FailedPeers + 1;
     if (FailedPeers >= PeerFailuresBeforeStoreRead) {
       co_await readAll();
--- a/src/cell/leadership.cpp
+++ b/src/cell/leadership.cpp
@@ -32,7 +32,8 @@
 constexpr Milliseconds MinHandOverInterval{10000};
 } // namespace
 
-Leadership::Leadership(const SchedulerDependencies &Tools, CellView &View, LeadershipCallbacks Callbacks)
+Leadership::Leadership(const SchedulerDependencies &Tools, CellView &View,
+                       LeadershipCallbacks Callbacks)
     : Tools(Tools), View(View), Callbacks(std::move(Callbacks)) {}
 
 void Leadership::start() { spawnLater(Tools.Where, loop()); }
@@ -137,8 +138,9 @@
   const TimePoint Now = Tools.Time.Now();
   if (Callbacks.IsStoreDirectlyReachable())
     LastDirectlyReachable = Now;
-  const bool TooEarly = Now - TermStart < MinTermDuration ||
-                     (LastHandOverAt != TimePoint{} && Now - LastHandOverAt < MinHandOverInterval);
+  const bool TooEarly =
+      Now - TermStart < MinTermDuration ||
+      (LastHandOverAt != TimePoint{} && Now - LastHandOverAt < MinHandOverInterval);
   const bool UsesPeers = Now - std::max(LastDirectlyReachable, TermStart) > IndirectHandOverDelay;
   const double MinPower = Tools.Settings.Power * (UsesPeers ? 1 : HandOverPowerRatio);
   if (TooEarly)
@@ -209,8 +211,8 @@
   if (!value(Written).Applied)
     co_return Error{ErrorKind::Conflict, "another process was faster"};
   Own.LeaderRevision = value(Written).Revision;
-  logEvent(events::ClaimMade, {{"term", std::to_string(Own.Term)},
-                               {"revision", std::to_string(Own.LeaderRevision)}});
+  logEvent(events::ClaimMade,
+           {{"term", std::to_string(Own.Term)}, {"revision", std::to_string(Own.LeaderRevision)}});
   co_return Own;
 }
 
--- a/src/cell/leadership.h
+++ b/src/cell/leadership.h
@@ -64,8 +64,8 @@
   const LeadershipCallbacks Callbacks;
   TimePoint LastHandOverAt{};
   TimePoint LastDirectlyReachable{}; ///< When the store last served this process straight.
-  TermHistory Terms;      ///< Of the cell, as this process has seen them.
-  uint64_t FailedTerm = 0;  ///< The term of a scheduler that is taken for gone; 0: none.
+  TermHistory Terms;                 ///< Of the cell, as this process has seen them.
+  uint64_t FailedTerm = 0;           ///< The term of a scheduler that is taken for gone; 0: none.
   bool Probing = false;
   bool ProbedAtStart = false; ///< Whether the first scheduler that was read of is there.
   std::shared_ptr<SchedulerRunner> Runner;
--- a/src/include/valveshelf/cell_metrics.h
+++ b/src/include/valveshelf/cell_metrics.h
@@ -43,7 +43,7 @@
   void observe(const MetricDescriptor &Metric, Steady::duration Time);
   void set(const MetricDescriptor &Metric, double Value);
   /// Brings the counters of messages up to the book.
-  void setTraffic(const TrafficBook &Traffic);
+  void setTraffic(const TrafficStats &Traffic);
   /// The text that is served.
   std::string text() const;
 
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -521,7 +521,7 @@
 /// Ends the job, unless it has ended: what runs of it is stopped, and its end is saved.
 void endJob(CellState &Cell, Job &J, JobPhase Phase, const char *Why, TimePoint Now, Effects &Out);
 /// Notes the end of a run in the task and the job.
-void runEnded(CellState &Cell, const RunKey &Run, RunEnd How, const std::string &Checkpoint,
+void runEnded(CellState &Cell, const RunKey &Run, RunOutcome How, const std::string &Checkpoint,
               Worker *W, TimePoint Now, Effects &Out);
 
 } // namespace valveshelf::sched
--- a/src/scheduler/advice.cpp
+++ b/src/scheduler/advice.cpp
@@ -145,7 +145,8 @@
 
 namespace {
 Milliseconds requestTime(const AdvicePolicy &Policy, size_t Workers) {
-  return std::chrono::duration_cast<Milliseconds>(Policy.Decide + Policy.EachWorker * Workers);
+  return std::chrono::duration_cast<Milliseconds>(Policy.BaseLatency +
+                                                  Policy.LatencyPerWorker * Workers);
 }
 } // namespace
 
@@ -190,7 +191,7 @@
 
 int64_t maxTasksPerWorker(const StepState &Step) {
   const int64_t Count = Step.Spec->Count;
-  return Step.Spec->MostPerWorker > 0 ? std::min<int64_t>(Count, Step.Spec->MostPerWorker) : Count;
+  return Step.Spec->MaxPerWorker > 0 ? std::min<int64_t>(Count, Step.Spec->MaxPerWorker) : Count;
 }
 
 // In the room that is free.
@@ -230,9 +231,10 @@
 
 // Workers that cost a question little beside the time that it takes anyway.
 size_t cheapRequestSize(const AdvicePolicy &Policy) {
-  if (Policy.EachWorker.count() <= 0)
+  if (Policy.LatencyPerWorker.count() <= 0)
     return MaxWorkersPerRequest;
-  const double Affordable = Policy.Decide.count() * MaxExtraTimeRatio / Policy.EachWorker.count();
+  const double Affordable =
+      Policy.BaseLatency.count() * MaxExtraTimeRatio / Policy.LatencyPerWorker.count();
   return std::clamp<size_t>(static_cast<size_t>(Affordable), MinWorkersPerRequest,
                             MaxWorkersPerRequest);
 }
@@ -357,7 +359,7 @@
   std::sort(Usable.begin(), Usable.end());
   Usable.resize(std::min(Usable.size(), workersPerRequest(Step)));
   const std::chrono::duration<double, std::milli> Time =
-      J.Spec->Advice->Decide + J.Spec->Advice->EachWorker * Usable.size();
+      J.Spec->Advice->BaseLatency + J.Spec->Advice->LatencyPerWorker * Usable.size();
   const auto Needed = std::chrono::duration_cast<Milliseconds>(Time) + RenewalMargin;
   const bool Expires = std::any_of(Usable.begin(), Usable.end(), [&](const auto &Entry) {
     return Entry.second->ValidUntil < Pass.Now + Needed;
--- a/src/scheduler/capacity_test.cpp
+++ b/src/scheduler/capacity_test.cpp
@@ -11,7 +11,7 @@
 // Waiting steps are looked at again after this time.
 constexpr Milliseconds RescanTime{50};
 // Nothing of these tests is late.
-constexpr double Extension = 100;
+constexpr double CriticalPathFactor = 100;
 
 // One worker of ten cores.
 struct OneWorker : PlacementScene {
@@ -21,10 +21,10 @@
 
 TEST(Capacity, AShrunkWorkerTakesNoNewTaskUntilItFits) {
   OneWorker Given;
-  Given.submit(0, tasks(3, 2000, 10s), Extension);
+  Given.submit(0, tasks(3, 2000, 10s), CriticalPathFactor);
   ASSERT_EQ(Given.pass(RescanTime).Starts.size(), 3u);
   Given.listCapacity(7000);
-  Given.submit(0, tasks(1, 2000, 10s), Extension);
+  Given.submit(0, tasks(1, 2000, 10s), CriticalPathFactor);
   EXPECT_TRUE(Given.pass(RescanTime).Starts.empty());
   Given.listCapacity(5000); // less than what runs there, which runs on
   Effects Out = Given.pass(RescanTime);
@@ -36,10 +36,10 @@
 
 TEST(Capacity, AStoppingRunOccupiesAShrunkWorker) {
   OneWorker Given;
-  Given.submit(2, tasks(2, 4000, 10s, true), Extension);
+  Given.submit(2, tasks(2, 4000, 10s, true), CriticalPathFactor);
   ASSERT_EQ(Given.pass(RescanTime).Starts.size(), 2u);
   Given.listCapacity(8000);
-  Given.submit(0, tasks(1, 4000, 10s), Extension);
+  Given.submit(0, tasks(1, 4000, 10s), CriticalPathFactor);
   const Effects Out = Given.pass(RescanTime);
   EXPECT_EQ(Out.Stops.size(), 1u);
   EXPECT_TRUE(Out.Starts.empty());
@@ -47,7 +47,7 @@
   stopAnswered(Given.Cell, "w", Out.Stops.at(0).Run, true, Given.Now, Then);
   EXPECT_TRUE(Given.pass(RescanTime).Starts.empty()) << "it may be there still";
   WorkerReport Ended;
-  Ended.Ended.push_back({1, Out.Stops[0].Run, RunEnd::Stopped, ""});
+  Ended.Ended.push_back({1, Out.Stops[0].Run, RunOutcome::Stopped, ""});
   workerReported(Given.Cell, "w", Ended, Given.Now, Given.Now, Then);
   EXPECT_EQ(Given.pass(RescanTime).Starts.size(), 1u);
 }
@@ -59,7 +59,7 @@
     Given.Cell.AdviceConcurrency = 2;
     StepSpec Step = tasks(2, 4000, 10s);
     Step.Gang = Gang;
-    Given.submit(1, Step, Extension, true);
+    Given.submit(1, Step, CriticalPathFactor, true);
     Effects Out = Given.pass(RescanTime);
     ASSERT_EQ(Out.AdviceRequests.size(), 1u);
     adviceAnswered(Given.Cell, Out.AdviceRequests[0].Step, {"w"}, {{"w", "ticket"}}, 2s, Given.Now);
@@ -81,7 +81,7 @@
 TEST(Capacity, ATakeoverUsesTheListedCapacityNotTheRecordedOne) {
   for (const bool RecordFirst : {false, true}) {
     OneWorker Given;
-    const JobId Old = Given.submit(1, tasks(1, 4000, 10s), Extension);
+    const JobId Old = Given.submit(1, tasks(1, 4000, 10s), CriticalPathFactor);
     const Effects Before = Given.pass(RescanTime);
     ASSERT_EQ(Before.Starts.size(), 1u);
     const WorkerInfo Recorded = Given.Cell.Workers.at("w").Info;
@@ -99,7 +99,7 @@
     WorkerReport Report;
     Report.Active.push_back({Before.Starts[0].Run, "", 10});
     workerReported(Given.Cell, "w", Report, Given.Now, Given.Now, Out);
-    Given.submit(0, tasks(1, 2000, 10s), Extension);
+    Given.submit(0, tasks(1, 2000, 10s), CriticalPathFactor);
     EXPECT_TRUE(Given.pass(RescanTime).Starts.empty()) << "record first: " << RecordFirst;
     Given.listCapacity(6000);
     EXPECT_EQ(Given.pass(RescanTime).Starts.size(), 1u) << "record first: " << RecordFirst;
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -54,7 +54,7 @@
   const TaskState *Task = findTask(Cell, Key);
   Job *Of = Task ? &Cell.Jobs.at(Key.Step.Job) : nullptr;
   if (!Of || Task->Done || Of->Phase != JobPhase::Live ||
-      !crashesWorkers(Cell.Limits, *Task, findStep(Cell, Key.Step)->Spec->Lasting))
+      !crashesWorkers(Cell.Limits, *Task, findStep(Cell, Key.Step)->Spec->LongRunning))
     return;
   Out.TasksGivenUp.push_back(
       {Key, Task->StartupCrashes, unconfirmedCrashes(*Task), Task->WeightedCrashes});
@@ -161,7 +161,7 @@
   TaskState *Task = findTask(Cell, End.Run.Task);
   if (Task && Task->Run == End.Run.Run)
     clearPendingStart(Cell, End.Run.Task, Out);
-  if (Task && (End.How == RunEnd::Done || End.How == RunEnd::Failed))
+  if (Task && (End.Outcome == RunOutcome::Done || End.Outcome == RunOutcome::Failed))
     Task->WeightedCrashes = 0;
 }
 
@@ -204,7 +204,7 @@
       countCrash(Cell, On, Run, How, Lost.size() == 1, Now, Out);
     noteLostRun(Cell, On, Run, How, Out);
     unbook(Cell, On, Run);
-    runEnded(Cell, Run, RunEnd::Lapsed, "", &On, Now, Out);
+    runEnded(Cell, Run, RunOutcome::LeaseExpired, "", &On, Now, Out);
   }
   if (How == WorkerEnd::LeaseExpired)
     return; // it is listed: its link is cut rather
--- a/src/scheduler/evacuation_test.cpp
+++ b/src/scheduler/evacuation_test.cpp
@@ -124,7 +124,7 @@
 
 TEST(Evacuation, ALastingTaskIsStoppedOnlyWhenThereIsRoomElsewhere) {
   StepSpec Lasting = tasks(1, 20000, 500ms);
-  Lasting.Lasting = true;
+  Lasting.LongRunning = true;
   WorkInZone Given(Lasting);
   const Effects Moved = Given.pass();
   ASSERT_EQ(Moved.Stops.size(), 1u);
@@ -152,7 +152,7 @@
 TEST(SlowStarts, AWorkerThatIsStillSlowIsUsedLast) {
   TwoZones Given;
   WorkerInfo Fresh = workerIn("fresh", "a");
-  Fresh.SlowFor = 3s;
+  Fresh.WarmUpTimeLeft = 3s;
   workerListed(Given.Cell, Fresh, Given.Now);
   Given.Cell.Workers.at("fresh").IsRecorded = true;
   Effects Out;
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -21,8 +21,8 @@
                                               const StepState &Step, bool Preempts) {
   std::vector<GangCandidate> Found;
   int64_t Limit = Step.Spec->Count;
-  if (Step.Spec->MostPerWorker > 0)
-    Limit = std::min<int64_t>(Limit, Step.Spec->MostPerWorker);
+  if (Step.Spec->MaxPerWorker > 0)
+    Limit = std::min<int64_t>(Limit, Step.Spec->MaxPerWorker);
   const Resources Need = needOf(Step);
   std::set<const Worker *> Avoided;
   for (const TaskState &Task : Step.Tasks)
@@ -56,7 +56,7 @@
   std::map<std::string, std::vector<GangCandidate>> Racks;
   for (const GangCandidate &Candidate : Candidates)
     Racks[Candidate.W->Info.Rack].push_back(Candidate);
-  if (const auto Near = Racks.find(Step.Spec->NearRack);
+  if (const auto Near = Racks.find(Step.Spec->PreferredRack);
       Near != Racks.end() && totalTasks(Near->second) >= Step.Spec->Count)
     return Near->second;
   if (Step.Spec->SameRack)
--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -13,7 +13,7 @@
   Milliseconds CriticalPath{0};
   for (size_t I = 0; I < Spec.Steps.size(); ++I) {
     Milliseconds LatestInput{0};
-    for (const uint32_t Earlier : Spec.Steps[I].After)
+    for (const uint32_t Earlier : Spec.Steps[I].DependsOn)
       LatestInput = std::max(LatestInput, FinishTimes[Earlier]);
     FinishTimes[I] = LatestInput + Spec.Steps[I].Estimate;
     CriticalPath = std::max(CriticalPath, FinishTimes[I]);
@@ -24,12 +24,12 @@
 // By then the job, or a round that is due at \p Due, has to be complete.
 TimePoint objectiveOf(const CellState &Cell, const JobSpec &Spec, WallTime Due) {
   const auto Chain =
-      std::chrono::duration_cast<Milliseconds>(criticalPathLength(Spec) * Spec.Extension);
-  return Cell.WallAt + (Due - Cell.Wall) + Chain + Spec.Target;
+      std::chrono::duration_cast<Milliseconds>(criticalPathLength(Spec) * Spec.CriticalPathFactor);
+  return Cell.WallAt + (Due - Cell.Wall) + Chain + Spec.ObjectiveSlack;
 }
 
 bool isRunnable(const RoundState &Round, const StepState &Step) {
-  return std::all_of(Step.Spec->After.begin(), Step.Spec->After.end(),
+  return std::all_of(Step.Spec->DependsOn.begin(), Step.Spec->DependsOn.end(),
                      [&](uint32_t Earlier) { return Round.Steps[Earlier].OpenTasks == 0; });
 }
 
@@ -122,7 +122,7 @@
   Out.Failures.push_back(
       {Run, W ? W->Info.Id : std::string(), Failures.size(), J.Spec->MaxAttempts});
   requestSave(Cell, J, Out);
-  if (!Step.Spec->Lasting && Failures.size() >= static_cast<size_t>(J.Spec->MaxAttempts))
+  if (!Step.Spec->LongRunning && Failures.size() >= static_cast<size_t>(J.Spec->MaxAttempts))
     endJob(Cell, J, JobPhase::Failed, "a task failed as often as allowed", Now, Out);
 }
 
@@ -159,7 +159,7 @@
 }
 
 bool isLate(const Job &J, const StepState &Step, TimePoint Now) {
-  return !Step.Spec->Lasting && Now + Step.Spec->Estimate / 2 > J.Objective;
+  return !Step.Spec->LongRunning && Now + Step.Spec->Estimate / 2 > J.Objective;
 }
 
 void queueStep(CellState &Cell, Job &J, StepState &Step, TimePoint Now) {
@@ -370,7 +370,7 @@
       }));
 }
 
-void runEnded(CellState &Cell, const RunKey &Run, RunEnd How, const std::string &Checkpoint,
+void runEnded(CellState &Cell, const RunKey &Run, RunOutcome How, const std::string &Checkpoint,
               Worker *W, TimePoint Now, Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
   if (!Step || Run.Task.Index >= Step->Tasks.size())
@@ -379,12 +379,12 @@
   J.Begun = true;
   if (J.Phase != JobPhase::Live)
     return;
-  if (How == RunEnd::Done)
+  if (How == RunOutcome::Done)
     return taskDone(Cell, J, *Step, Run, Now, Out);
   if (Step->Tasks[Run.Task.Index].Done)
     return;
   keepCheckpoint(*Step, Run.Task.Index, Checkpoint);
-  if (How == RunEnd::Failed)
+  if (How == RunOutcome::Failed)
     taskFailed(Cell, J, *Step, Run, W, Now, Out);
   else if (!Checkpoint.empty())
     requestSave(Cell, J, Out); // a successor goes on from the checkpoint
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -34,9 +34,9 @@
   const StepSpec &Spec = *Step.Spec;
   if (Entry.Phase != AttemptPhase::Running || Spec.Gang)
     return false;
-  if (Spec.Lasting)
-    return Spec.MayMiss == 0 || countNotServing(Step) < Spec.MayMiss;
-  if (!Spec.Checkpoints)
+  if (Spec.LongRunning)
+    return Spec.MaxUnavailable == 0 || countNotServing(Step) < Spec.MaxUnavailable;
+  if (!Spec.Checkpointable)
     return false;
   const Milliseconds Left = Entry.Estimate * (100 - Entry.Percent) / 100;
   // Nobody says when a zone that is emptied goes: what would take longer to move than to end stays.
--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -101,7 +101,7 @@
 
 Resources needOf(const StepState &Step) {
   Resources Need = Step.Spec->Need;
-  if (Step.Spec->Fills)
+  if (Step.Spec->BestEffort)
     Need.MilliCores = 0;
   return Need;
 }
@@ -124,7 +124,7 @@
 }
 
 bool isAtTaskLimit(const StepState &Step, const Worker &W) {
-  return Step.Spec->MostPerWorker > 0 && countTasksOn(Step, W) >= Step.Spec->MostPerWorker;
+  return Step.Spec->MaxPerWorker > 0 && countTasksOn(Step, W) >= Step.Spec->MaxPerWorker;
 }
 
 // True if the task has just failed on the worker. Where few advised workers have room it would go
@@ -150,7 +150,7 @@
 bool benefitsFromPreemption(const PlacementPass &Pass, const Job &J, const StepState &Step) {
   if (J.IsOverShare)
     return false; // it gets the room that nobody within a share needs
-  return Step.Spec->Lasting ||
+  return Step.Spec->LongRunning ||
          Pass.Now + Pass.Cell.Limits.StopTime + Step.Spec->Estimate < J.Objective;
 }
 
@@ -198,7 +198,7 @@
 Score scoreOf(const PlacementPass &Pass, const Job &J, const StepState &Step, const TaskState &Task,
               const Worker &W) {
   Score Value;
-  const bool Far = !Step.Spec->NearRack.empty() && W.Info.Rack != Step.Spec->NearRack;
+  const bool Far = !Step.Spec->PreferredRack.empty() && W.Info.Rack != Step.Spec->PreferredRack;
   Value.Penalty += Far ? 2 : 0;
   Value.Penalty += Task.FailedOn == &W ? 1 : 0;
   // A caller waits for the slowest task: a worker that is still slow is taken when no other is.
--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -137,7 +137,7 @@
     Made->Model.PlanOf = [this](const RunKey &Run) { return planOf(Run); };
     Box *Raw = Made.get();
     Made->Model.OnStart = [this, Raw](const RunKey &Run) { checkStart(*Raw, Run); };
-    Made->Model.OnEnd = [this](const RunKey &Run, RunEnd How) { ended(Run, How); };
+    Made->Model.OnEnd = [this](const RunKey &Run, RunOutcome How) { ended(Run, How); };
     Boxes[Id] = std::move(Made);
     if (Current && !Current->HasEnded)
       after(Milliseconds(upTo(300)), [this, Id] {
@@ -201,7 +201,7 @@
         !(Now < On.PreviousCapacityUntil && fits(Sum, On.PreviousCapacity)))
       addViolation("LIMIT", Run);
     checkQuota(*Of.Spec, Run);
-    if (Step.MostPerWorker > 0 && OfStep > Step.MostPerWorker)
+    if (Step.MaxPerWorker > 0 && OfStep > Step.MaxPerWorker)
       addViolation("ROUTE (too many of a step)", Run);
     if (!Step.RequiredLabel.empty() && On.Info.Labels[0] != Step.RequiredLabel)
       addViolation("ROUTE (label)", Run);
@@ -211,7 +211,7 @@
           addViolation("TWICE (at the same time)", Run);
     if (ForgottenDone.count(Run.Task))
       addViolation("TWICE (after its end was noted)", Run);
-    for (const uint32_t Earlier : Step.After)
+    for (const uint32_t Earlier : Step.DependsOn)
       for (uint32_t I = 0; I < Of.Spec->Steps[Earlier].Count; ++I)
         if (!ActuallyDone.count({{Run.Task.Step.Job, 0, Earlier}, I}))
           addViolation("ORDER", Run);
@@ -356,11 +356,11 @@
       Member->Works = Members.size() >= specOf(Run.Task.Step).Count;
   }
 
-  void ended(const RunKey &Run, RunEnd How) {
+  void ended(const RunKey &Run, RunOutcome How) {
     const StepSpec &Step = specOf(Run.Task.Step);
-    if (How == RunEnd::Failed)
+    if (How == RunOutcome::Failed)
       ++ActualFailures[Step.Gang ? TaskKey{Run.Task.Step, 0} : Run.Task];
-    if (How == RunEnd::Done)
+    if (How == RunOutcome::Done)
       for (uint32_t I = 0; I < Step.Count; ++I)
         if (Step.Gang || I == Run.Task.Index)
           ActuallyDone.insert({Run.Task.Step, I});
@@ -374,7 +374,8 @@
           if (Key.Task.Step == Run.Task.Step && Key.Run == Run.Run && !Other->Dead)
             GangRuns.push_back(Key);
         for (const RunKey &GangRun : GangRuns)
-          Other->Model.end(GangRun, How == RunEnd::Done ? RunEnd::Done : RunEnd::Broken);
+          Other->Model.end(GangRun,
+                           How == RunOutcome::Done ? RunOutcome::Done : RunOutcome::GangBroken);
       }
     });
   }
@@ -457,7 +458,7 @@
       StartResult What = StartResult::Unknown;
       // An unhealthy worker does nothing and says so.
       if (How == CallOutcome::Delivered && !FaultsOver && chance(0.1))
-        What = StartResult::RefusedBusy;
+        What = StartResult::RefusedUnhealthy;
       else if (How != CallOutcome::Lost && !To->Dead)
         What = To->Model.start(Seen);
       if (To->RefusesConnections && How != CallOutcome::Late)
@@ -590,9 +591,9 @@
       if (End.Number > Through)
         continue;
       const StepSpec &Step = specOf(End.Run.Task.Step);
-      if (End.How == RunEnd::Failed && !Step.Gang)
+      if (End.Outcome == RunOutcome::Failed && !Step.Gang)
         ForgottenFailures[End.Run.Task].insert(End.Run.Run);
-      if (End.How != RunEnd::Done)
+      if (End.Outcome != RunOutcome::Done)
         continue;
       for (uint32_t I = 0; I < Step.Count; ++I)
         if (Step.Gang || I == End.Run.Task.Index)
@@ -732,8 +733,8 @@
     Spec->Organisation = chance(0.3) ? "" : chance(0.5) ? "north" : "south";
     Spec->Priority = static_cast<int>(upTo(2));
     Spec->MaxAttempts = 2 + static_cast<int>(upTo(1));
-    Spec->Extension = 2;
-    Spec->Target = 1000ms;
+    Spec->CriticalPathFactor = 2;
+    Spec->ObjectiveSlack = 1000ms;
     Spec->AcceptedAt = wall();
     if (chance(0.6))
       Spec->Advice = AdvicePolicy{};
@@ -744,13 +745,13 @@
       Step.Need = {500 + upTo(2500), 500 + upTo(2500), 0};
       Step.Estimate = Milliseconds(upTo(800));
       if (I > 0 && chance(0.8))
-        Step.After = {I - 1};
-      Step.Checkpoints = chance(0.5);
+        Step.DependsOn = {I - 1};
+      Step.Checkpointable = chance(0.5);
       Step.Gang = chance(0.3);
       if (Step.Gang) // fits on one box
         Step.Need = {500 + upTo(900), 500 + upTo(900), 0};
       Step.RequiredLabel = chance(0.1) && !Spec->Advice && !Step.Gang ? "a" : "";
-      Step.MostPerWorker = chance(0.1) && !Spec->Advice && !Step.Gang ? 2 : 0;
+      Step.MaxPerWorker = chance(0.1) && !Spec->Advice && !Step.Gang ? 2 : 0;
       Spec->Steps.push_back(Step);
     }
     Store[Spec->Id] = {Spec, JobPhase::Live, "", ++Revision, false};
@@ -787,10 +788,10 @@
       return removeBox(*Which);
     // It says that it leaves, and does.
     Which->Info.Draining = true;
-    Which->Info.TimeLeft = Milliseconds(upTo(2000));
+    Which->Info.DrainTimeLeft = Milliseconds(upTo(2000));
     if (!Current->HasEnded)
       workerListed(Current->Cell, Which->Info, steady());
-    after(Which->Info.TimeLeft, [this, Which] {
+    after(Which->Info.DrainTimeLeft, [this, Which] {
       if (!Which->Dead)
         removeBox(*Which);
     });
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -147,9 +147,9 @@
 // attempts on it; after one that failed at once, for a short one. Both belong to the rule that a
 // task does not go back to where it failed (hasJustFailedOn has the figure).
 void updateQuarantine(CellState &Cell, Worker &On, const EndedRun &End, TimePoint Now) {
-  if (End.How == RunEnd::Done)
+  if (End.Outcome == RunOutcome::Done)
     On.ConsecutiveFailures = 0;
-  if (End.How != RunEnd::Failed)
+  if (End.Outcome != RunOutcome::Failed)
     return;
   if (failedEarly(Cell, On, End.Run, Now))
     On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + Cell.Limits.FailureAvoidanceTime);
@@ -168,7 +168,7 @@
     updateQuarantine(Cell, On, End, Now);
     noteEndListed(Cell, End, Out);
     unbook(Cell, On, End.Run);
-    runEnded(Cell, End.Run, End.How, End.Checkpoint, &On, Now, Out);
+    runEnded(Cell, End.Run, End.Outcome, End.Checkpoint, &On, Now, Out);
     const auto Of = Cell.Jobs.find(End.Run.Task.Step.Job);
     const uint64_t Save = Of == Cell.Jobs.end() ? 0 : Of->second.PendingSave;
     if (Save == 0 && On.UnsavedEnds.empty()) {
@@ -195,7 +195,7 @@
   for (const RunKey &Run : Gone) {
     noteNeverStarted(Cell, Run.Task, On, Out);
     unbook(Cell, On, Run);
-    runEnded(Cell, Run, RunEnd::Stopped, "", &On, Now, Out);
+    runEnded(Cell, Run, RunOutcome::Stopped, "", &On, Now, Out);
   }
 }
 
@@ -213,9 +213,9 @@
   if (AdviceState::Permit *Used = Step ? findPermit(*Step, On) : nullptr;
       Used && Answer == StartResult::RefusedTicket)
     Used->ValidUntil = Now;
-  if (Answer == StartResult::RefusedBusy || Answer == StartResult::NotSent)
+  if (Answer == StartResult::RefusedUnhealthy || Answer == StartResult::NotSent)
     On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + BusyBackoff);
-  if (Answer == StartResult::RefusedRoom)
+  if (Answer == StartResult::RefusedNoCapacity)
     Out.ReportRequests.push_back(On.Info.Id);
   noteNeverStarted(Cell, Run.Task, On, Out);
   unbook(Cell, On, Run);
@@ -244,7 +244,7 @@
   ++Step.BookedTasks;
   Attempt &Made = On.Attempts[{{Step.Key, Index}, Run}];
   Made.Need = Step.Spec->Need;
-  if (Step.Spec->Fills)
+  if (Step.Spec->BestEffort)
     Made.Need.MilliCores = 0;
   chargeAttempt(Made, Of.Owner, Step.Spec->Need);
   Made.Priority = Of.IsOverShare ? OverSharePriority : Of.Spec->Priority;
@@ -254,7 +254,7 @@
   Made.Estimate = Step.Spec->Estimate;
   Made.OnTrial = needsIsolatedStart(Step, Task);
   On.IsolatedStarts += Made.OnTrial ? 1 : 0;
-  Made.IsPreemptible = Step.Spec->Checkpoints && !Step.Spec->Gang && !Step.Spec->Lasting;
+  Made.IsPreemptible = Step.Spec->Checkpointable && !Step.Spec->Gang && !Step.Spec->LongRunning;
   Made.Phase = Phase;
   Made.PhaseSince = Now;
   const bool IsPlanned = Phase == AttemptPhase::Planned;
@@ -338,8 +338,8 @@
   Worker &On = findOrAddWorker(Cell, Info.Id);
   On.Info = Info;
   On.Listed = true;
-  On.LeavesAt = Now + Info.TimeLeft;
-  On.SlowUntil = Now + Info.SlowFor;
+  On.LeavesAt = Now + Info.DrainTimeLeft;
+  On.SlowUntil = Now + Info.WarmUpTimeLeft;
   On.InEvacuatedZone = Cell.Evacuated.Names.count(Info.Zone) > 0;
   if (New)
     On.LeaseEnd = Now;
@@ -414,7 +414,7 @@
   if (!On)
     return;
   const auto Found = On->Attempts.find(Run);
-  if (Answer == StartResult::OtherLife) {
+  if (Answer == StartResult::OtherIncarnation) {
     if (Found != On->Attempts.end() && Found->second.Phase == AttemptPhase::Starting)
       startRefused(Cell, *On, Run, Answer, Now, Out);
     return workerEnded(Cell, Id, Now, Out);
@@ -509,7 +509,7 @@
   std::vector<RunKey> Stalled;
   for (const auto &[Run, Entry] : On.Attempts) {
     const StepState *Step = findStep(Cell, Run.Task.Step);
-    const bool Watched = Entry.Phase == AttemptPhase::Running && Step && !Step->Spec->Lasting &&
+    const bool Watched = Entry.Phase == AttemptPhase::Running && Step && !Step->Spec->LongRunning &&
                          Entry.EndExpectedSince == TimePoint{};
     if (Watched && Entry.Percent < 100 &&
         On.ReportAskedAt - Entry.PercentChangedAt > stallTime(*Step->Spec))
--- a/testsuite/replay/load_replay.cpp
+++ b/testsuite/replay/load_replay.cpp
@@ -45,8 +45,8 @@
     Spec->Organisation = Of.Organisation;
     Spec->Priority = Of.Priority;
     Spec->MaxAttempts = 3;
-    Spec->Extension = Of.Extension;
-    Spec->Target = Of.Target;
+    Spec->CriticalPathFactor = Of.CriticalPathFactor;
+    Spec->ObjectiveSlack = Of.Target;
     Spec->AcceptedAt =
         Cell.Wall + std::chrono::duration_cast<WallTime::duration>(Now - Cell.WallAt);
     if (Of.AdviceBaseTime.count() > 0)
@@ -112,7 +112,7 @@
     after(Setting.OrderLatency, [this, Order] {
       Effects Then;
       stopAnswered(Cell, Order.Worker, Order.Run, true, Now, Then);
-      after(Cell.Limits.StopTime, [this, Key = Order.Run] { endRun(Key, RunEnd::Stopped); });
+      after(Cell.Limits.StopTime, [this, Key = Order.Run] { endRun(Key, RunOutcome::Stopped); });
     });
   }
   for (Effects::AdviceRequest &Question : Out.AdviceRequests)
@@ -132,16 +132,16 @@
   Runs[Order.Run].Worker = Order.Worker;
   const StepSpec &Spec = Kinds.at(Step.Job).Step;
   if (isFaulty(Order.Worker))
-    return beginWork(Order.Run, Setting.FaultyRunTime, RunEnd::Failed);
+    return beginWork(Order.Run, Setting.FaultyRunTime, RunOutcome::Failed);
   if (!Spec.Gang)
-    return beginWork(Order.Run, Spec.Estimate - SavedWork[Order.Run.Task], RunEnd::Done);
+    return beginWork(Order.Run, Spec.Estimate - SavedWork[Order.Run.Task], RunOutcome::Done);
   auto &Members = StartedMembers[{Step, Order.Run.Run}];
   Members.insert(Order.Run.Task.Index);
   for (uint32_t I = 0; Members.size() == Spec.Count && I < Spec.Count; ++I)
-    beginWork({{Step, I}, Order.Run.Run}, Spec.Estimate, RunEnd::Done);
+    beginWork({{Step, I}, Order.Run.Run}, Spec.Estimate, RunOutcome::Done);
 }
 
-void LoadReplay::beginWork(const RunKey &Key, Milliseconds Time, RunEnd How) {
+void LoadReplay::beginWork(const RunKey &Key, Milliseconds Time, RunOutcome How) {
   const auto Found = Runs.find(Key);
   if (Found == Runs.end())
     return; // it was broken meanwhile
@@ -150,7 +150,7 @@
   after(Time, [this, Key, How] { endRun(Key, How); });
 }
 
-WorkerReport LoadReplay::reportOf(const std::string &Worker, const RunKey &Ended, RunEnd How) {
+WorkerReport LoadReplay::reportOf(const std::string &Worker, const RunKey &Ended, RunOutcome How) {
   WorkerReport Report;
   Report.Ended.push_back({++LastEndNumbers[Worker], Ended, How, ""});
   for (const auto &[Key, At] : Runs) {
@@ -164,7 +164,7 @@
 }
 
 // A member that fails breaks the others of its run.
-void LoadReplay::endRun(const RunKey &Key, RunEnd How) {
+void LoadReplay::endRun(const RunKey &Key, RunOutcome How) {
   const auto Found = Runs.find(Key);
   if (Found == Runs.end())
     return; // it was stopped or broken before
@@ -172,17 +172,18 @@
   Runs.erase(Found);
   const StepKey &Step = Key.Task.Step;
   const StepSpec &Spec = Kinds.at(Step.Job).Step;
-  Results.at(Step.Job).Failures += How == RunEnd::Failed ? 1 : 0;
-  if (How == RunEnd::Stopped && Spec.Checkpoints)
+  Results.at(Step.Job).Failures += How == RunOutcome::Failed ? 1 : 0;
+  if (How == RunOutcome::Stopped && Spec.Checkpointable)
     SavedWork[Key.Task] += std::chrono::duration_cast<Milliseconds>(Now - Was.WorkStartedAt);
   Effects Out;
   workerReported(Cell, Was.Worker, reportOf(Was.Worker, Key, How), Now, Now, Out);
   apply(Out);
-  if (!Spec.Gang || How == RunEnd::Done)
+  if (!Spec.Gang || How == RunOutcome::Done)
     return;
   for (const auto &[Other, At] : Runs)
     if (Other.Task.Step == Step && Other.Run == Key.Run)
-      after(Setting.OrderLatency, [this, Broken = Other] { endRun(Broken, RunEnd::Broken); });
+      after(Setting.OrderLatency,
+            [this, Broken = Other] { endRun(Broken, RunOutcome::GangBroken); });
 }
 
 // The most urgent question first, and of those the oldest.
--- a/testsuite/replay/load_replay.h
+++ b/testsuite/replay/load_replay.h
@@ -31,7 +31,7 @@
 struct ReplayKind {
   int Priority = 0;
   StepSpec Step;
-  double Extension = 2;
+  double CriticalPathFactor = 2;
   Milliseconds Target{1000};
   double EligibleShare = 1; ///< Part of the workers that advice lets a step run on.
   Milliseconds AdviceBaseTime{0};
@@ -77,9 +77,9 @@
   void placeSoon();
   void apply(Effects &Out);
   void startRun(const Effects::Start &Order);
-  void beginWork(const RunKey &Key, Milliseconds Time, RunEnd How);
-  WorkerReport reportOf(const std::string &Worker, const RunKey &Ended, RunEnd How);
-  void endRun(const RunKey &Key, RunEnd How);
+  void beginWork(const RunKey &Key, Milliseconds Time, RunOutcome How);
+  WorkerReport reportOf(const std::string &Worker, const RunKey &Ended, RunOutcome How);
+  void endRun(const RunKey &Key, RunOutcome How);
   void dispatchQuestions();
   void answer(const Effects::AdviceRequest &Question);
   void saveAll();
