--- a/src/cell/histories_test.cpp
+++ b/src/cell/compacted_history_test.cpp
@@ -28,7 +28,7 @@
     Io.run_for(Time);
   }
   // Changes are made while no watch hears of them, and their history is gone.
-  template <class Change> void changeUnheard(Change Make) {
+  template <class Change> void changeUnobserved(Change Make) {
     Store.Down = true;
     play(100ms);
     Make();
@@ -38,56 +38,57 @@
   }
 };
 
-TEST(Histories, TheViewOfTheCellIsReadAgain) {
+TEST(CompactedHistory, CellViewReadsStateAgain) {
   Watched Given;
   Given.Store.put(std::string(LeaderKey), encodeLeader({"b", {"127.0.0.1", 2}, 3}), 0);
   CellView View(Given.Io.get_executor(), Given.Store.ops(), Given.Settings, [] {});
   View.start();
   Given.play(30ms);
-  ASSERT_EQ(View.picture().Leader->Term, 3u);
-  Given.changeUnheard([&] { Given.Store.remove(std::string(LeaderKey)); });
-  EXPECT_FALSE(View.picture().Leader);
+  ASSERT_EQ(View.snapshot().Leader->Term, 3u);
+  Given.changeUnobserved([&] { Given.Store.remove(std::string(LeaderKey)); });
+  EXPECT_FALSE(View.snapshot().Leader);
   View.stop();
   Given.play(2s);
 }
 
-TEST(Histories, TheListOfMembersIsReadAgain) {
+TEST(CompactedHistory, MemberListReadsStateAgain) {
   Watched Given;
   for (const char *Name : {"a", "b"})
     Given.Store.put(memberKey(Name), encodeMember({Name, {"127.0.0.1", 2}, "z", 1}), 0);
   Roster Standing;
   auto List = std::make_shared<MemberList>(
       Given.Io.get_executor(), Given.Store.ops(), Given.Settings, 0,
-      MemberList::Links{[] {}, [&]() -> const Roster & { return Standing; }});
+      MemberList::Callbacks{[] {}, [&]() -> const Roster & { return Standing; }});
   List->start();
   Given.play(30ms);
   ASSERT_EQ(List->members().size(), 2u);
-  Given.changeUnheard([&] { Given.Store.remove(memberKey("b")); });
+  Given.changeUnobserved([&] { Given.Store.remove(memberKey("b")); });
   EXPECT_EQ(List->members().size(), 1u);
   List->stop();
   Given.play(1s);
 }
 
-TEST(Histories, WhatOperatorsAskForIsReadAgain) {
+TEST(CompactedHistory, ConfigWatchReadsStateAgain) {
   Watched Given;
   Given.Store.put("op/evacuate/z1", "{}", 0);
-  ConfigLinks Links;
-  Links.AskPeer = [](Endpoint, uint64_t, Milliseconds) -> Awaitable<Result<PeerConfiguration>> {
+  ConfigWatchCallbacks Callbacks;
+  Callbacks.FetchFromPeer = [](Endpoint, uint64_t,
+                               Milliseconds) -> Awaitable<Result<PeerConfiguration>> {
     co_return Error{ErrorKind::UpstreamCut, "silent"};
   };
-  Links.Peers = [] { return std::vector<Endpoint>(); };
-  Links.Schedules = [] { return false; };
-  Links.HearsStore = [] { return true; };
-  Links.Hearers = Links.Peers;
-  Links.Changed = Links.ZonesChanged = [] {};
+  Callbacks.Peers = [] { return std::vector<Endpoint>(); };
+  Callbacks.IsScheduler = [] { return false; };
+  Callbacks.WatchesStore = [] { return true; };
+  Callbacks.Watchers = Callbacks.Peers;
+  Callbacks.Changed = Callbacks.ZonesChanged = [] {};
   ConfigWatch Watch(
       Given.Io.get_executor(), Clock{}, Given.Store.ops(), Given.Settings,
       {"op/", "op/config", "op/evacuate/"},
-      [](std::string_view) -> Result<CellConfiguration> { return CellConfiguration{}; }, Links);
+      [](std::string_view) -> Result<CellConfiguration> { return CellConfiguration{}; }, Callbacks);
   Watch.start();
   Given.play(30ms);
   ASSERT_EQ(Watch.evacuated().Names.size(), 1u);
-  Given.changeUnheard([&] { Given.Store.remove("op/evacuate/z1"); });
+  Given.changeUnobserved([&] { Given.Store.remove("op/evacuate/z1"); });
   EXPECT_TRUE(Watch.evacuated().Names.empty());
   Watch.stop();
   Given.play(1s);
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -37,9 +37,10 @@
 EntryProcess::EntryProcess(Executor Where, EntrySettings Settings, Clock Time, Platform From,
                            HttpClient &Client)
     : Where(Where), Settings(std::move(Settings)), Time(std::move(Time)), From(std::move(From)),
-      Client(Client), Peers(grpcPeers(Where, PeerTimeout)), Watch(this->From.Store, this->Time),
-      Directory(this->Settings.Shards), Config(this->From.Store, this->Time, Peers, Watch),
-      Requests({Where, this->Time, Client, Directory, [this] { return Config.inForce(); },
+      Client(Client), Peers(makeGrpcPeerOps(Where, PeerTimeout)),
+      Watch(this->From.Store, this->Time), Directory(this->Settings.Shards),
+      Config(this->From.Store, this->Time, Peers, Watch),
+      Requests({Where, this->Time, Client, Directory, [this] { return Config.current(); },
                 [this] { return Watch.view(); },
                 [this] {
                   const auto Current = session();
@@ -60,7 +61,7 @@
   if (Result<Done> Bound = Operators.start(); !ok(Bound))
     return Bound;
   Watch.onChange([this] {
-    Config.take(Watch.view()->ConfigText, "");
+    Config.applyIfNewer(Watch.view()->ConfigText, "");
     if (const auto Current = session())
       Current->ownership().wake();
   });
@@ -108,7 +109,7 @@
   spawnLater(Where, Watch.run());
   SessionTools Tools{Where,      Time,         Settings,
                      From.Store, From.Workers, Peers,
-                     Watch,      Directory,    [this] { return Config.inForce(); }};
+                     Watch,      Directory,    [this] { return Config.current(); }};
   while (!Stopping) {
     auto Next = std::make_shared<Session>(Tools, newLogId(Settings.Member, Time.Wall()));
     {
@@ -124,7 +125,7 @@
     }
     Joined = ok(In);
     if (Joined)
-      Requests.joined();
+      Requests.onJoined();
     while (!Next->over() && !Stopping && ok(In))
       co_await sleepFor(RetryPause);
     Joined = Joined && Stopping;
@@ -151,7 +152,7 @@
   wire::ExchangeRequest News;
   News.set_member(Settings.Member);
   News.set_address(toString(Settings.Peers));
-  News.set_config_version(Config.inForce()->Version);
+  News.set_config_version(Config.current()->Version);
   News.set_leaving(Stopping);
   const auto Current = session();
   if (!Current)
@@ -165,13 +166,13 @@
 void EntryProcess::hear(const wire::ExchangeRequest &News) {
   const TimePoint Now = Time.Now();
   for (const wire::ShardSummary &Summary : News.summary())
-    Directory.hear(Summary, Now);
+    Directory.applySummary(Summary, Now);
   {
     std::lock_guard Lock(Mutex);
     ConfigVersions[News.member()] = News.config_version();
   }
   const Result<Endpoint> From = parseEndpoint(News.address());
-  if (News.config_version() > Config.inForce()->Version && ok(From))
+  if (News.config_version() > Config.current()->Version && ok(From))
     spawnLater(Where, Config.fetchFrom(value(From)));
 }
 
@@ -180,8 +181,8 @@
   Result<wire::ExchangeReply> Reply = co_await Peers.Exchange(Peer.Peers, News);
   if (!ok(Reply)) {
     // A frozen or cut-off process still has its listener; only one that is gone refuses.
-    const PeerOps::Listening Heard = co_await Peers.Probe(Peer.Peers);
-    if (Heard == PeerOps::Listening::Refused && !Peer.Log.empty())
+    const PeerOps::ProbeResult Heard = co_await Peers.Probe(Peer.Peers);
+    if (Heard == PeerOps::ProbeResult::Refused && !Peer.Log.empty())
       Watch.noteGone(Peer.Log);
     co_return;
   }
@@ -222,7 +223,7 @@
   while (true) {
     const wire::ExchangeRequest Own = ownNews();
     for (const wire::ShardSummary &Summary : Own.summary())
-      Directory.hear(Summary, Time.Now());
+      Directory.applySummary(Summary, Time.Now());
     const std::string Now = Own.SerializeAsString();
     Quiet = Now == Told ? Quiet + 1 : 0;
     Told = Now;
@@ -311,7 +312,7 @@
     co_return Runner ? Runner->onHold(Request) : wire::HoldReply();
   };
   Handlers.Config = [this](wire::ConfigRequest) -> Awaitable<wire::ConfigReply> {
-    const auto Current = Config.inForce();
+    const auto Current = Config.current();
     wire::ConfigReply Reply;
     Reply.set_version(Current->Version);
     Reply.set_text(encodeCellConfig(*Current));
--- a/src/entry/interfaces.cpp
+++ b/src/entry/interfaces.cpp
@@ -245,10 +245,10 @@
 Awaitable<HttpResponse> EntryProcess::answerConfig(std::string Method, std::string Target,
                                                    HeaderList Headers, std::string Body) {
   const std::string_view Path = pathOf(Target);
-  if (Path == "/v1/config" && Method == "GET" && Config.inForce()->Version == 0 && !Joined)
+  if (Path == "/v1/config" && Method == "GET" && Config.current()->Version == 0 && !Joined)
     co_return errorResponse(notReady());
   if (Path == "/v1/config" && Method == "GET")
-    co_return jsonResponse(200, encodeCellConfig(*Config.inForce()) + "\n");
+    co_return jsonResponse(200, encodeCellConfig(*Config.current()) + "\n");
   if (Method != "PUT" || Path.size() <= std::string_view("/v1/config/").size())
     co_return errorResponse(notFound(Target));
   ConfigChange Change;
@@ -257,7 +257,8 @@
     co_return errorResponse(
         {ErrorKind::Forbidden, "the operator's token is not one of partner " + Change.Partner});
   Change.Text = std::move(Body);
-  Change.Base = std::strtoull(queryParameter(Target, "base").value_or("0").c_str(), nullptr, 10);
+  Change.BaseVersion =
+      std::strtoull(queryParameter(Target, "base").value_or("0").c_str(), nullptr, 10);
   Change.Id = queryParameter(Target, "id").value_or(newJobId());
   const std::string Id = Change.Id;
   Result<uint64_t> Version = co_await Config.apply(std::move(Change));
@@ -275,7 +276,7 @@
     for (const auto &[Shard, Owner] : View->Owners)
       if (Owner.Log == Log && !Owner.Released)
         Shards.emplace_back(Shard);
-    uint64_t Version = Config.inForce()->Version;
+    uint64_t Version = Config.current()->Version;
     if (Member.Name != Settings.Member) {
       std::lock_guard Lock(Mutex);
       Version = ConfigVersions[Member.Name];
@@ -299,7 +300,7 @@
   const auto Set = [&](const std::string &Name, const std::string &Help, double Value) {
     prometheus::BuildGauge().Name(Name).Help(Help).Register(Registry).Add({}).Set(Value);
   };
-  ShardFigures Sum;
+  ShardStats Sum;
   size_t Shards = 0;
   size_t Draining = 0;
   Milliseconds ForJournal{0};
@@ -307,7 +308,7 @@
   const auto Current = session();
   if (Current) {
     for (const auto &Runner : Current->ownership().all()) {
-      const ShardFigures One = Runner->figures();
+      const ShardStats One = Runner->stats();
       ++Shards;
       Sum.Starts += One.Starts;
       Sum.Jobs += One.Jobs;
@@ -319,7 +320,7 @@
       Sum.StartsInFlight += One.StartsInFlight;
       Draining += One.Draining ? 1 : 0;
       Milliseconds &Longest = One.Stage == ReportStage::Journal ? ForJournal : ForHome;
-      Longest = std::max(Longest, One.InStage);
+      Longest = std::max(Longest, One.TimeInStage);
     }
     Set("valveshelf_journal_writes", "Entries this process wrote to its journal.",
         static_cast<double>(Current->journal().writes()));
@@ -348,14 +349,14 @@
   Set("valveshelf_workers_ready", "Workers that take tasks.",
       static_cast<double>(Sum.WorkersReady));
   Set("valveshelf_config_version", "Configuration in force.",
-      static_cast<double>(Config.inForce()->Version));
-  const RouterFigures &Routed = Requests.figures();
+      static_cast<double>(Config.current()->Version));
+  const RouterStats &Routed = Requests.stats();
   Set("valveshelf_requests_served", "Requests with an answer.", static_cast<double>(Routed.Served));
   Set("valveshelf_requests_refused", "Requests refused or failed.",
       static_cast<double>(Routed.Refused));
   Set("valveshelf_requests_retried", "Tries beyond the first.",
       static_cast<double>(Routed.Retried));
-  Set("valveshelf_requests_cut", "Answers cut on the way.", static_cast<double>(Routed.Cut));
+  Set("valveshelf_requests_cut", "Answers cut on the way.", static_cast<double>(Routed.Truncated));
   const std::string Text = prometheus::TextSerializer().Serialize(Registry.Collect());
   return {200, {{"Content-Type", "text/plain; version=0.0.4"}}, Text};
 }
--- a/src/scheduler/crash_count.cpp
+++ b/src/scheduler/crash_count.cpp
@@ -7,7 +7,7 @@
 
 namespace valveshelf::sched {
 namespace {
-void undoubt(CellState &Cell, const TaskKey &Key, const std::string &Worker) {
+void removeFromSuspectIndex(CellState &Cell, const TaskKey &Key, const std::string &Worker) {
   const auto Found = Cell.Doubted.find(Worker);
   if (Found == Cell.Doubted.end())
     return;
@@ -28,18 +28,21 @@
   const std::string_view Why = Change(*Task);
   if (Why.empty())
     return;
-  if (Task->TrialOn == Worker || Task->Crashes == 0)
-    Task->TrialOn.clear();
-  if (Task->Inherited == Worker)
-    Task->Inherited.clear();
-  needSave(Cell, *Of, Out);
-  Task->CrashSave = Of->NeedsSave;
-  Out.CrashCounts.push_back({Key, Worker, Why, Task->Crashes, doubtsOf(*Task)});
+  if (Task->PendingStartWorker == Worker || Task->StartupCrashes == 0)
+    Task->PendingStartWorker.clear();
+  if (Task->InheritedStartWorker == Worker)
+    Task->InheritedStartWorker.clear();
+  requestSave(Cell, *Of, Out);
+  Task->CrashCountSave = Of->PendingSave;
+  Out.CrashCountChanges.push_back(
+      {Key, Worker, Why, Task->StartupCrashes, unconfirmedCrashes(*Task)});
 }
 
 // One silence alone may be a cut link. Work that a cut worker had just begun is not held back for
 // it where the store can't be written.
-bool isSuspect(const TaskState &Task) { return Task.Crashes > 1 || doubtsOf(Task) < Task.Crashes; }
+bool needsDurableCount(const TaskState &Task) {
+  return Task.StartupCrashes > 1 || unconfirmedCrashes(Task) < Task.StartupCrashes;
+}
 
 } // namespace
 
@@ -48,119 +51,123 @@
   return Step && Key.Index < Step->Tasks.size() ? &Step->Tasks[Key.Index] : nullptr;
 }
 
-uint32_t doubtsOf(const TaskState &Task) { return static_cast<uint32_t>(Task.Doubted.size()); }
+uint32_t unconfirmedCrashes(const TaskState &Task) {
+  return static_cast<uint32_t>(Task.SuspectWorkers.size());
+}
 
-bool counts(const TaskState &Task, const Worker &On) {
+bool countsCrashOf(const TaskState &Task, const Worker &On) {
   const auto Names = [&](const std::vector<std::string> &Workers) {
     return std::find(Workers.begin(), Workers.end(), On.Info.Id) != Workers.end();
   };
-  return Names(Task.Doubted) || Names(Task.Vanished);
+  return Names(Task.SuspectWorkers) || Names(Task.VanishedWorkers);
 }
 
-void noteDoubted(CellState &Cell, const TaskKey &Key, const std::string &Worker, TimePoint Now) {
-  DoubtedWorker &Doubted = Cell.Doubted[Worker];
-  Doubted.Since = std::max(Doubted.Since, Now);
-  Doubted.Tasks.insert(Key);
+void indexSuspectWorker(CellState &Cell, const TaskKey &Key, const std::string &Worker,
+                        TimePoint Now) {
+  SuspectWorker &Suspect = Cell.Doubted[Worker];
+  Suspect.LastSuspectedAt = std::max(Suspect.LastSuspectedAt, Now);
+  Suspect.Tasks.insert(Key);
 }
 
-void doubt(CellState &Cell, const TaskKey &Key, const Worker &On, TimePoint Now, Effects &Out) {
+void suspectCrash(CellState &Cell, const TaskKey &Key, const Worker &On, TimePoint Now,
+                  Effects &Out) {
   const std::string &Id = On.Info.Id;
   changeCount(Cell, Key, Id, Out, [&](TaskState &Task) {
-    ++Task.Crashes;
-    Task.Doubted.push_back(Id);
-    noteDoubted(Cell, Key, Id, Now);
+    ++Task.StartupCrashes;
+    Task.SuspectWorkers.push_back(Id);
+    indexSuspectWorker(Cell, Key, Id, Now);
     return "silent";
   });
 }
 
-void confirm(CellState &Cell, const TaskKey &Key, const Worker &On, LifeEnd How, TimePoint Now,
-             Effects &Out) {
+void confirmCrash(CellState &Cell, const TaskKey &Key, const Worker &On, WorkerEnd How,
+                  TimePoint Now, Effects &Out) {
   const std::string &Id = On.Info.Id;
   changeCount(Cell, Key, Id, Out, [&](TaskState &Task) {
-    if (std::erase(Task.Doubted, Id) == 0)
-      ++Task.Crashes;
-    if (How == LifeEnd::Replaced) {
-      undoubt(Cell, Key, Id);
+    if (std::erase(Task.SuspectWorkers, Id) == 0)
+      ++Task.StartupCrashes;
+    if (How == WorkerEnd::Replaced) {
+      removeFromSuspectIndex(Cell, Key, Id);
       return "crashed";
     }
-    Task.Vanished.push_back(Id);
-    noteDoubted(Cell, Key, Id, Now);
+    Task.VanishedWorkers.push_back(Id);
+    indexSuspectWorker(Cell, Key, Id, Now);
     return "vanished";
   });
 }
 
-void takeBack(CellState &Cell, const TaskKey &Key, const std::string &Worker, Effects &Out) {
+void retractCrash(CellState &Cell, const TaskKey &Key, const std::string &Worker, Effects &Out) {
   changeCount(Cell, Key, Worker, Out, [&](TaskState &Task) -> std::string_view {
-    if (std::erase(Task.Doubted, Worker) + std::erase(Task.Vanished, Worker) == 0)
+    if (std::erase(Task.SuspectWorkers, Worker) + std::erase(Task.VanishedWorkers, Worker) == 0)
       return {};
-    --Task.Crashes;
-    undoubt(Cell, Key, Worker);
+    --Task.StartupCrashes;
+    removeFromSuspectIndex(Cell, Key, Worker);
     return "heard";
   });
 }
 
-void clearCount(CellState &Cell, const TaskKey &Key, Effects &Out) {
+void clearCrashCount(CellState &Cell, const TaskKey &Key, Effects &Out) {
   const TaskState *Task = findTask(Cell, Key);
-  if (!Task || Task->Crashes == 0)
+  if (!Task || Task->StartupCrashes == 0)
     return;
   changeCount(Cell, Key, "", Out, [&](TaskState &Counted) {
-    for (const std::string &Worker : std::exchange(Counted.Doubted, {}))
-      undoubt(Cell, Key, Worker);
-    for (const std::string &Worker : std::exchange(Counted.Vanished, {}))
-      undoubt(Cell, Key, Worker);
-    Counted.Crashes = 0;
-    Counted.Inherited.clear();
+    for (const std::string &Worker : std::exchange(Counted.SuspectWorkers, {}))
+      removeFromSuspectIndex(Cell, Key, Worker);
+    for (const std::string &Worker : std::exchange(Counted.VanishedWorkers, {}))
+      removeFromSuspectIndex(Cell, Key, Worker);
+    Counted.StartupCrashes = 0;
+    Counted.InheritedStartWorker.clear();
     return "stands";
   });
 }
 
-void dropDoubts(CellState &Cell, const Job &Of) {
+void removeJobFromSuspectIndex(CellState &Cell, const Job &Of) {
   for (const auto &[Number, Round] : Of.Rounds)
     for (const StepState &Step : Round.Steps)
       for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
-        for (const auto *Workers : {&Step.Tasks[I].Doubted, &Step.Tasks[I].Vanished})
+        for (const auto *Workers : {&Step.Tasks[I].SuspectWorkers, &Step.Tasks[I].VanishedWorkers})
           for (const std::string &Worker : *Workers)
-            undoubt(Cell, {Step.Key, I}, Worker);
+            removeFromSuspectIndex(Cell, {Step.Key, I}, Worker);
 }
 
-void noteTrial(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
+void notePendingStart(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
   TaskState *Task = findTask(Cell, Key);
-  Task->Inherited.clear();
-  if (Task->Crashes == 0 || Task->TrialOn == On.Info.Id)
+  Task->InheritedStartWorker.clear();
+  if (Task->StartupCrashes == 0 || Task->PendingStartWorker == On.Info.Id)
     return;
-  Task->TrialOn = On.Info.Id;
+  Task->PendingStartWorker = On.Info.Id;
   Job &Of = Cell.Jobs.at(Key.Step.Job);
-  needSave(Cell, Of, Out);
-  Task->CrashSave = Of.NeedsSave;
+  requestSave(Cell, Of, Out);
+  Task->CrashCountSave = Of.PendingSave;
 }
 
-void settleTrial(CellState &Cell, const TaskKey &Key, Effects &Out) {
+void clearPendingStart(CellState &Cell, const TaskKey &Key, Effects &Out) {
   TaskState *Task = findTask(Cell, Key);
-  if (!Task || Task->TrialOn.empty())
+  if (!Task || Task->PendingStartWorker.empty())
     return;
-  Task->TrialOn.clear();
+  Task->PendingStartWorker.clear();
   if (Job &Of = Cell.Jobs.at(Key.Step.Job); Of.Phase == JobPhase::Live)
-    needSave(Cell, Of, Out);
+    requestSave(Cell, Of, Out);
 }
 
-void noteNotBegun(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
-  takeBack(Cell, Key, On.Info.Id, Out);
-  settleTrial(Cell, Key, Out);
+void noteNeverStarted(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
+  retractCrash(Cell, Key, On.Info.Id, Out);
+  clearPendingStart(Cell, Key, Out);
 }
 
-bool mayLaunch(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
-  noteTrial(Cell, Key, On, Out);
-  return !waitsForCrashSave(Cell, *findTask(Cell, Key));
+bool mayStartNow(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out) {
+  notePendingStart(Cell, Key, On, Out);
+  return !awaitsCrashCountSave(Cell, *findTask(Cell, Key));
 }
 
-bool waitsForCrashSave(const CellState &Cell, const TaskState &Task) {
-  return isSuspect(Task) && Cell.Saves.count(Task.CrashSave) > 0;
+bool awaitsCrashCountSave(const CellState &Cell, const TaskState &Task) {
+  return needsDurableCount(Task) && Cell.PendingSaves.count(Task.CrashCountSave) > 0;
 }
 
-void settleInherited(CellState &Cell, const TaskKey &Key, Effects &Out) {
+void retractInheritedStart(CellState &Cell, const TaskKey &Key, Effects &Out) {
   const TaskState *Task = findTask(Cell, Key);
-  if (Task && !Task->Inherited.empty())
-    takeBack(Cell, Key, std::string(Task->Inherited), Out);
+  if (Task && !Task->InheritedStartWorker.empty())
+    retractCrash(Cell, Key, std::string(Task->InheritedStartWorker), Out);
 }
 
 } // namespace valveshelf::sched
