--- a/src/include/valveshelf/key_value_store.h
+++ b/src/include/valveshelf/key_value_store.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The platform's key-value store: transactions under conditions, leases and watches. What the
-// cell must not lose lives there.
+// Interface of the platform's key-value store, which holds the cell's durable state: conditional
+// transactions, leases and watches.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -17,54 +17,54 @@
 
 namespace valveshelf {
 
-/// A key with its value and the revision of its last change.
+/// A key, its value and the revision at which it was last modified.
 struct KeyValue {
   std::string Key;
   std::string Value;
-  uint64_t Revision = 0; ///< 0: there is no such key.
+  uint64_t Revision = 0; ///< 0: the key does not exist.
   uint64_t Lease = 0;    ///< 0: none.
 };
 
-/// Where operators write what they ask for.
+/// Keys that operators write.
 struct OperatorKeys {
-  std::string Prefix;           ///< Of all of it.
-  std::string ConfigurationKey; ///< The key of the configuration.
-  std::string EvacuationPrefix; ///< A key under it for each availability zone to be left empty.
+  std::string Prefix;           ///< Common prefix of all operator keys.
+  std::string ConfigurationKey; ///< Holds the cell's configuration.
+  std::string EvacuationPrefix; ///< Followed by the name of each availability zone to evacuate.
 };
 
-/// What stood under a prefix. Pages of a large range are not one snapshot; a watch that goes on
-/// from `Revision`, which is that of the first page, misses nothing.
+/// All keys under a prefix. Pages of a large range are not one snapshot; a watch that starts at
+/// `Revision`, the revision of the first page, misses no change.
 struct KeyRange {
   std::vector<KeyValue> Items;
   uint64_t Revision = 0;
 };
 
-/// What changed under a prefix. A key that has gone comes with an empty value and Gone set.
+/// A change under a prefix. A removed key has an empty value.
 struct KeyChange {
   KeyValue Item;
   bool IsRemoved = false;
 };
 struct KeyChanges {
   std::vector<KeyChange> Changes;
-  uint64_t Revision = 0; ///< Where the next watch goes on.
+  uint64_t Revision = 0; ///< The next watch continues after it.
 };
 
-/// True if the answer may have been cut short: the store tells some hundreds of changes at a time,
-/// and what a busy prefix has more of comes with the next watch.
+/// True if the store may have truncated the answer; the next watch then returns the remaining
+/// changes at once.
 inline bool mayBeTruncated(const KeyChanges &Read) {
-  // Well below what one answer holds.
-  constexpr size_t TruncationThreshold = 100;
+  constexpr size_t TruncationThreshold = 100; // below the store's limit for one answer
   return Read.Changes.size() >= TruncationThreshold;
 }
 
-/// All of it or nothing. Rows of all three lists count towards `MaxTransactionRows`.
+/// Applied atomically, if all conditions hold. The rows of all three lists together are limited to
+/// `MaxTransactionRows`.
 struct Transaction {
   struct Condition {
     std::string Key;
     uint64_t Revision = 0; ///< 0: the key must not exist.
   };
   std::vector<Condition> Conditions;
-  std::vector<KeyValue> Puts; ///< Key, Value and Lease are read.
+  std::vector<KeyValue> Puts; ///< Revision is ignored.
   std::vector<std::string> Removes;
 
   size_t rows() const { return Conditions.size() + Puts.size() + Removes.size(); }
@@ -74,22 +74,23 @@
     std::move(More.Removes.begin(), More.Removes.end(), std::back_inserter(Removes));
   }
 };
-/// Most rows the store takes in one transaction. (The platform's limit.)
+/// The platform's limit on rows in a transaction.
 inline constexpr size_t MaxTransactionRows = 32;
 
 struct TransactionResult {
   bool Applied = false;
-  uint64_t Revision = 0;              ///< Of the change, if it was applied.
-  std::vector<KeyValue> CurrentItems; ///< The conditions' keys as they stand, if it was not.
+  uint64_t Revision = 0;              ///< Of the change, if applied.
+  std::vector<KeyValue> CurrentItems; ///< The conditions' keys, if not applied.
 };
 
-/// The store. Errors: StoreUnavailable (surely nothing was done), OutcomeUnknown (a write that may
-/// have been done or may still be), NotFound (no such lease; a watch whose history is gone).
+/// Operations of the store. Errors: StoreUnavailable (nothing was written), OutcomeUnknown (a write
+/// may have been applied, or may still be), NotFound (no such lease, or a watch's start revision
+/// has been compacted).
 struct KeyValueStore {
   std::function<Awaitable<Result<KeyValue>>(std::string Key)> Get;
-  /// Reads all pages. \p AllowStale: cheaper, and possibly seconds old.
+  /// Reads all pages. \p AllowStale: cheaper; the result may be seconds old.
   std::function<Awaitable<Result<KeyRange>>(std::string Prefix, bool AllowStale)> Range;
-  /// Returns as soon as something changes after \p After, or with no changes after \p Wait.
+  /// Returns the changes after revision \p After as soon as there are any, or none after \p Wait.
   std::function<Awaitable<Result<KeyChanges>>(std::string Prefix, uint64_t After,
                                               Milliseconds Wait)>
       Watch;
--- a/src/include/valveshelf/platform.h
+++ b/src/include/valveshelf/platform.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the platform gives, each behind one narrow struct of operations, so that another
-// platform (or a fake in a test) takes its place without touching a decision.
+// The platform's services, each as a struct of operations, so that another platform or a fake in a
+// test can replace them.
 #pragma once
 
 #include "valveshelf/box.h"
@@ -18,60 +18,60 @@
 
 namespace valveshelf {
 
-/// A value of the store and the version that a compare-and-swap names.
+/// A stored value and its version, for compare-and-swap.
 struct StoreItem {
   std::string Key;
   std::string Value;
-  uint64_t Version = 0; ///< 0: there is no such key.
+  uint64_t Version = 0; ///< 0: the key does not exist.
 };
 
-/// Items, and the revision of the store at which they were read.
+/// Items and the store revision at which they were read.
 struct StoreItems {
   uint64_t Revision = 0;
   std::vector<StoreItem> Items;
 };
 
-/// The platform's key-value service. Errors are Conflict (the version was another),
-/// StoreUnavailable (surely nothing happened) and OutcomeUnknown (the write may have been made).
+/// The platform's key-value service. Errors: Conflict (the version differs), StoreUnavailable
+/// (nothing was written), OutcomeUnknown (the write may have been applied).
 struct StoreOps {
   std::function<Awaitable<Result<StoreItem>>(std::string Key)> Get;
-  /// Writes if the key's version is \p ExpectedVersion (0: the key must not exist). \p Lease 0 for
-  /// none. Returns the new version.
+  /// Writes if the key's version is \p ExpectedVersion (0: the key must not exist). \p Lease 0: no
+  /// lease. Returns the new version.
   std::function<Awaitable<Result<uint64_t>>(std::string Key, std::string Value,
                                             uint64_t ExpectedVersion, uint64_t Lease)>
       Put;
   std::function<Awaitable<Result<Done>>(std::string Key, uint64_t ExpectedVersion)> Erase;
   std::function<Awaitable<Result<StoreItems>>(std::string Prefix)> List;
-  /// Waits until something under \p Prefix changed after revision \p After, or for \p Wait.
-  /// Erased keys come with version 0.
+  /// Waits for a change under \p Prefix after revision \p After, for at most \p Wait. Erased keys
+  /// have version 0.
   std::function<Awaitable<Result<StoreItems>>(std::string Prefix, uint64_t After,
                                               Milliseconds Wait)>
       Watch;
   std::function<Awaitable<Result<uint64_t>>(Milliseconds Ttl)> GrantLease;
-  /// NotFound: the lease has lapsed.
+  /// NotFound: the lease has expired.
   std::function<Awaitable<Result<Done>>(uint64_t Lease)> RenewLease;
   std::function<Awaitable<Result<Done>>(uint64_t Lease)> RevokeLease;
 };
 
-/// The store over HTTP. \p Client outlives the result.
+/// The store over HTTP. \p Client must outlive the result.
 StoreOps httpStore(HttpClient &Client, Endpoint Address, Milliseconds Timeout);
 
-/// The platform's lagging list of boxes.
+/// The platform's list of boxes, which lags behind the actual state.
 struct BoxListOps {
   std::function<Awaitable<Result<BoxList>>()> Fetch;
 };
 BoxListOps httpBoxList(HttpClient &Client, Endpoint Address, Milliseconds Timeout);
 
-/// One call to a worker that renews leases, lets ended tasks be forgotten, and waits for news.
+/// Renews task leases, acknowledges ended tasks and long-polls for the worker's task list.
 struct WorkerSync {
-  Milliseconds Wait{0};
-  Milliseconds RenewFor{0};       ///< Zero renews nothing.
-  std::vector<std::string> Renew; ///< Ids of tasks whose leases are renewed.
-  std::vector<std::string> Forget;
-  uint64_t After = 0; ///< Version of the last list; a newer one is answered without waiting.
+  Milliseconds Wait{0};            ///< Longest time the worker may delay its answer.
+  Milliseconds RenewFor{0};        ///< 0: renews nothing.
+  std::vector<std::string> Renew;  ///< Ids of the tasks whose leases are renewed.
+  std::vector<std::string> Forget; ///< Ids of ended tasks that the worker may forget.
+  uint64_t After = 0; ///< Version of the last list seen; a newer one is returned at once.
 };
 
-/// A worker. None of the calls is safe to repeat but `Sync` and `Stop`.
+/// Operations of a worker. Only `Sync` and `Stop` are idempotent.
 struct WorkerOps {
   std::function<Awaitable<StartAnswer>(Endpoint Address, std::string TaskId, SpecPtr Spec,
                                        Milliseconds Lease)>
@@ -82,7 +82,7 @@
 };
 WorkerOps httpWorkers(HttpClient &Client, Milliseconds Timeout);
 
-/// Everything that a process gets from the platform.
+/// All platform services that a process uses.
 struct Platform {
   StoreOps Store;
   BoxListOps Boxes;
--- a/src/include/valveshelf/worker_link.h
+++ b/src/include/valveshelf/worker_link.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the scheduler's process says to workers and to the advice service.
+// Requests that the scheduler sends to workers and to the advice service.
 #pragma once
 
 #include "valveshelf/errors.h"
@@ -14,25 +14,26 @@
 
 namespace valveshelf {
 
-/// One life of a worker; another life at the same address refuses what is meant for this one.
+/// One instance of a worker process. A later instance at the same address has another id and
+/// refuses requests that are meant for this one.
 struct WorkerAddress {
   std::string Id;
   Endpoint Address;
 };
 
-/// An order to start a run. Safe to send again: a run that is there already is left alone.
+/// Starts a run. Idempotent: a run that the worker already has is left unchanged.
 struct StartRun {
   WorkerAddress To;
   sched::RunKey Run;
   sched::JobSpecPtr Job;
-  Milliseconds LeaseUntil{0}; ///< The lease of the whole worker, on its own clock.
+  Milliseconds LeaseUntil{0}; ///< End of the worker's lease, on its own clock.
   uint64_t Fence = 0;
   std::string Checkpoint;
   std::string Ticket;
   Milliseconds Timeout{0}; ///< For the answer.
 };
 
-/// An order to stop a run. After it, that run and earlier ones of the task can't start there.
+/// Stops a run. Afterwards neither it nor an earlier run of the same task can start on the worker.
 struct StopRun {
   WorkerAddress To;
   sched::RunKey Run;
@@ -40,33 +41,33 @@
   Milliseconds Timeout{0}; ///< For the answer.
 };
 
-/// Extends the worker's lease, lets ends be forgotten and asks what it holds.
+/// Renews the worker's lease, acknowledges ended runs and requests a report of the worker's runs.
 struct HeartbeatRequest {
   WorkerAddress To;
   uint64_t Fence = 0;
-  uint64_t ForgetThrough = 0;
-  std::optional<Milliseconds> LeaseUntil;
-  Milliseconds Wait{0};
-  Milliseconds Timeout{0}; ///< Beyond the wait.
+  uint64_t ForgetThrough = 0;             ///< The worker may forget ended runs up to this number.
+  std::optional<Milliseconds> LeaseUntil; ///< End of the lease (worker's clock); empty: unchanged.
+  Milliseconds Wait{0};    ///< Long poll: the worker answers when a run ends, or after this time.
+  Milliseconds Timeout{0}; ///< For the answer, in addition to Wait.
 };
 
-/// Errors of `Stop` and `Heartbeat`: NotOwner (a newer scheduler has spoken to the worker),
-/// NotFound (another life answered), UpstreamUnavailable (surely not sent), UpstreamCut (may have
-/// been carried out, or may be later).
+/// Errors of `Stop` and `Heartbeat`: NotOwner (the worker has seen a newer fencing token), NotFound
+/// (another instance answered), UpstreamUnavailable (not sent), UpstreamCut (outcome unknown: it
+/// may have been carried out, or may still be).
 struct WorkerLink {
   std::function<Awaitable<sched::StartResult>(StartRun)> Start;
   std::function<Awaitable<Result<Done>>(StopRun)> Stop;
   std::function<Awaitable<Result<sched::WorkerReport>>(HeartbeatRequest)> Heartbeat;
 };
 
-/// Workers that may run a step, each with its ticket.
+/// The advice service's answer: the workers that may run a step.
 struct Advice {
-  std::vector<std::pair<std::string, std::string>> Eligible; ///< Worker and ticket.
-  Milliseconds Valid{0};
+  std::vector<std::pair<std::string, std::string>> Eligible; ///< Worker id and ticket.
+  Milliseconds Valid{0};                                     ///< How long the tickets are valid.
 };
 
-/// Asks which of \p Workers may run \p Step. The service takes one call of each calling box at a
-/// time. Overloaded: too many calls of this box wait there.
+/// Asks which of \p Workers may run \p Step. The service processes one call per calling box at a
+/// time. Overloaded: too many calls of this box are queued there.
 struct AdviceLink {
   std::function<Awaitable<Result<Advice>>(sched::StepKey Step, std::vector<std::string> Workers,
                                           Milliseconds Timeout)>
