--- a/src/cell/scheduler_heartbeats.cpp
+++ b/src/cell/scheduler_heartbeats.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a scheduler says to workers: calls that they hold and answer with what they hold, looks,
-// orders to start and to stop.
+// The scheduler's calls to workers: heartbeats, which renew leases and return reports, and orders
+// to start and stop runs.
 #include "cell/scheduler_runner.h"
 
 #include "valveshelf/events.h"
@@ -15,21 +15,21 @@
 
 namespace {
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-// A worker whose ends wait to be saved answers at once, so it is asked again after a pause, by
-// which a further end is seen late. It grows with the workers that wait, which bounds the looks a
+// A worker with unsaved ended runs answers a long poll at once. Its next heartbeat is delayed
+// instead, by a time that grows with the number of such workers and so bounds the heartbeats per
 // second.
 constexpr Milliseconds MinUnsavedDelay{120};
 constexpr Milliseconds MaxUnsavedDelay{400};
 constexpr std::chrono::microseconds UnsavedDelayPerWorker{2500};
-// While calls get lost, a worker whose answer is held is looked at this often. Without it the ends
-// on a worker whose held call was lost are seen only when that call is given up.
+// While calls are being lost, busy workers with an outstanding long poll get an immediate heartbeat
+// this often. Otherwise ended runs would go unnoticed until a lost long poll times out.
 constexpr Milliseconds RecheckInterval{300};
-// Such looks in one tick; keeps a small box with hundreds of workers from being busy with them.
+// Bounds the load of these heartbeats on a small box with hundreds of workers.
 constexpr size_t MaxRechecksPerTick = 20;
 } // namespace
 
-// By then a lease that is given to a worker now is over. What its clock and ours may have drifted
-// apart, during the lease and since the clock was read, counts.
+// The latest time at which a lease granted now expires, allowing for clock drift during the lease
+// and since the worker's clock was read \p ClockAge ago.
 TimePoint SchedulerRunner::leaseEnd(Steady::duration ClockAge) const {
   const std::chrono::duration<double, std::milli> Lease = Deps.Settings.Timing.WorkerLease;
   const auto Drift = (Lease + ClockAge) * (2 * Cell.Limits.ClockDrift);
@@ -58,12 +58,12 @@
     if (HeartbeatLoops.insert(Id).second)
       spawnLater(Deps.Where, heartbeatLoop(shared_from_this(), Id));
     else if (!On.HasReported)
-      wakeHeartbeatLoop(Id); // it was let go of and has come back; its loop may still rest
+      wakeHeartbeatLoop(Id); // removed and listed again; its loop may still be waiting
   }
 }
 
-// A held call that was lost says little of the worker, which is then asked again at once; it counts
-// as silent when a call that was to be answered at once gets no answer.
+// A lost long poll does not make a worker silent; the loop sends an immediate heartbeat next, and
+// the worker is marked silent if that fails as well.
 void SchedulerRunner::heartbeatFailed(const std::string &Id, const Error &Why, bool IsLongPoll) {
   const bool Answered = Cell.Workers.at(Id).IsResponsive;
   if (Answered)
@@ -86,8 +86,8 @@
   Order.ForgetThrough = Found->second.ForgetThrough;
   Order.Wait = Wait;
   Order.Timeout = Deps.Settings.Timing.HoldTimeout;
-  // A worker that does not answer is only asked: an extension that may or may not arrive would put
-  // off for ever the time at which its runs are surely over.
+  // The lease of an unresponsive worker is not renewed: a renewal that may or may not arrive would
+  // postpone indefinitely the time at which its runs are known to have ended.
   if (HeartbeatStates.count(Id) && Found->second.IsResponsive) {
     Order.LeaseUntil = workerTime(Id) + Deps.Settings.Timing.WorkerLease;
     workerLeased(Cell, Id, leaseEnd(clockAge(Id)));
@@ -102,14 +102,14 @@
     LongPolls.erase(Id);
   if (Stopped)
     co_return HeartbeatOutcome::Ended;
-  Found = Cell.Workers.find(Id); // it may have been let go of meanwhile
+  Found = Cell.Workers.find(Id); // may have been removed meanwhile
   if (Found == Cell.Workers.end())
     co_return HeartbeatOutcome::Ended;
   const TimePoint Now = Deps.Time.Now();
   Effects Out;
   if (ok(Report)) {
     HeartbeatState &State = HeartbeatStates[Id];
-    // Answers on two connections may overtake each other; an older one says nothing new.
+    // Answers on two connections may arrive out of order; older ones are ignored.
     if (value(Report).WorkerClock >= State.WorkerClock) {
       State.WorkerClock = value(Report).WorkerClock;
       State.ReadAt = Now;
@@ -131,7 +131,7 @@
   co_return ok(Report) ? HeartbeatOutcome::Answered : HeartbeatOutcome::NoAnswer;
 }
 
-// Waits until the worker's ends are saved or something is started there, or for \p Most.
+// Waits until the worker's ended runs are saved or a run is started there, for at most \p Most.
 Awaitable<void> SchedulerRunner::waitForWake(SelfPtr Self, std::string Id, Milliseconds Most) {
   SteadyTimer Wake(Self->Deps.Where, Most);
   Self->WakeTimers[Id] = &Wake;
@@ -150,7 +150,8 @@
     Found->second->cancel();
 }
 
-// True if nothing is to be told to or heard from the worker before something is started there.
+// True if the worker is idle and everything is acknowledged, so that long polls can be suspended
+// until a run is started there.
 bool SchedulerRunner::canSuspendHeartbeats(const Worker &On) const {
   const auto Known = HeartbeatStates.find(On.Info.Id);
   return Known != HeartbeatStates.end() && On.HasReported && isIdle(On) &&
@@ -163,7 +164,7 @@
   while (!Self->Stopped) {
     auto Found = Self->Cell.Workers.find(Id);
     if (Found != Self->Cell.Workers.end() && !Found->second.UnsavedEnds.empty()) {
-      // Asked for again when those known are saved; without the store, now and then.
+      // Wakes when the known ends are saved; the delay applies while the store is unavailable.
       co_await waitForWake(Self, Id, Self->unsavedHeartbeatDelay());
       Found = Self->Cell.Workers.find(Id);
     }
@@ -200,7 +201,7 @@
     co_await Self->sendHeartbeat(Id, Milliseconds(0));
 }
 
-// Rechecks at workers with runs whose held call may have been lost.
+// Sends heartbeats to busy workers whose long poll may have been lost.
 void SchedulerRunner::recheckBusyWorkers() {
   const TimePoint Now = Deps.Time.Now();
   if (!areCallsBeingLost(Losses, Now))
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The process around the scheduler's decisions: loading, watching, workers and orders.
+// Loading a term's state, watching submitted jobs, and performing the scheduler's effects.
 #include "cell/scheduler_runner.h"
 
 #include "valveshelf/events.h"
@@ -16,15 +16,15 @@
 
 namespace {
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-// Time outs are looked for this often.
 constexpr Milliseconds TickInterval{50};
-// Events that come together are placed together. A pass that took long, because much waits, is
-// followed by a pause of so many times its length, which leaves the processor to orders and ends.
+// Placement is delayed so that simultaneous events share a pass, and by this multiple of the last
+// pass's duration, which leaves the processor free for worker calls.
 constexpr Milliseconds PlacementDelay{2};
 constexpr int PlacementPauseFactor = 4;
-// Between two watches of what callers handed in. An announcement that is lost costs this time.
+// Pause between two watches of submitted jobs; bounds the delay of a job whose announcement was
+// lost.
 constexpr Milliseconds IntakeWatchPause{250};
-// Run numbers of one term; no task starts so often in one.
+// Run numbers reserved for one term; exceeds the runs of any task in a term.
 constexpr uint32_t RunsPerTerm = 1000;
 
 } // namespace
@@ -149,7 +149,7 @@
     Result<WorkerInfo> Info = decodeWorkerRecord(Id, Item.Value);
     if (!ok(Info)) {
       logEvent(events::RecordUnreadable,
-               {{"key", Item.Key}}); // it stays: somebody else may read it
+               {{"key", Item.Key}}); // kept: another version may be able to read it
       continue;
     }
     WorkerRecords[Id] = Item.Revision;
@@ -159,9 +159,9 @@
 
 Awaitable<Result<Done>> SchedulerRunner::load() {
   const TimePoint Begun = Deps.Time.Now();
-  // All at a time: nothing is started before the last of them, and a slow store takes a quarter of
-  // a second for each. Nobody else writes runs any more, since those writes ask for this claim. The
-  // zones are read in each term, as what this process heard last may be older than the claim.
+  // Read in parallel, since no task starts before all reads have completed. Run records can't
+  // change meanwhile: writing them is conditional on this claim. Zones are read again because those
+  // known to this process may be older than the claim.
   using namespace asio::experimental::awaitable_operators;
   const auto [Listed, Runs, Intake, Evacuated] =
       co_await (Deps.Store.Range(Deps.WorkerPrefix, false) &&
@@ -220,7 +220,7 @@
   StoredJob &Read = value(Stored);
   if (Read.Phase != JobPhase::Live) {
     if (Cell.Jobs.count(*Id) || Cell.EndedJobs.count(*Id))
-      return; // our own writing
+      return; // written by this scheduler
     Cell.EndedJobs[*Id] = {Read.Phase, Item.Revision, Read.EndedAt, Read.Spec.Organisation};
     Cell.EndedByAge.emplace_back(Read.EndedAt, *Id);
     return;
@@ -279,14 +279,14 @@
           Self->applyIntakeItem(Change.Item, true);
       From = std::max(From, value(Read).Revision);
       Self->schedulePlacement();
-      // Jobs are announced as well; news is gathered so that a busy hour costs few calls.
+      // Jobs are also announced; the pause batches changes to limit the number of calls.
       if (!value(Read).Changes.empty() && !mayBeTruncated(value(Read)))
         co_await sleepFor(IntakeWatchPause);
       continue;
     }
     if (error(Read).Kind != ErrorKind::NotFound) {
       co_await sleepFor(RetryPause);
-      continue; // the next one goes on from where this one would have
+      continue; // the next watch starts at the same revision
     }
     Result<uint64_t> Again = co_await Self->rereadIntake();
     if (ok(Again))
@@ -306,9 +306,9 @@
   if (Stopped)
     return;
   if (wasSuspended())
-    return endTerm("this process stood still");
+    return endTerm("this process was suspended for longer than the leader lease");
   if (Out.Deposed)
-    return endTerm("a worker has heard a newer scheduler");
+    return endTerm("a worker has seen a newer scheduler's fencing token");
   reportEffects(Out);
   const SelfPtr Self = shared_from_this();
   for (Effects::Start &Order : Out.Starts)
@@ -326,7 +326,7 @@
   Out = {};
 }
 
-// The decisions that touch jobs, for the log and the figures.
+// Writes the effects that concern jobs to the log and the metrics.
 void SchedulerRunner::reportEffects(const Effects &Out) {
   const TimePoint Now = Deps.Time.Now();
   const auto Millis = [](Steady::duration Time) {
@@ -404,7 +404,7 @@
     if (Self->Stopped)
       co_return;
     if (Self->wasSuspended())
-      co_return Self->endTerm("this process stood still");
+      co_return Self->endTerm("this process was suspended for longer than the leader lease");
     Self->LastTick = Self->Deps.Time.Now();
     Self->Deps.Metrics.set(metrics::Jobs, static_cast<double>(Self->Cell.Jobs.size()));
     Self->Deps.Metrics.set(metrics::Waiting, static_cast<double>(Self->Cell.Queue.size()));
--- a/src/cell/scheduler_runner.h
+++ b/src/cell/scheduler_runner.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// One term of a scheduler: reads what the store has, asks every worker what it holds, then carries
-// out what the decisions of `cell_state.h` say. Ends when a newer scheduler is heard of.
+// Runs the scheduler for one leadership term: loads the cell's state from the store, collects the
+// workers' reports, then performs the effects that the decisions of `cell_state.h` return. The term
+// ends when a newer scheduler is detected.
 #pragma once
 
 #include "cell/adaptive_timeout.h"
@@ -25,65 +26,65 @@
 
 namespace valveshelf {
 
-/// What a scheduler is made from. All of it outlives it.
+/// Dependencies of a scheduler. Referenced objects must outlive it.
 struct SchedulerDependencies {
-  Executor Where; ///< A strand; everything here runs on it.
+  Executor Where; ///< The strand that the scheduler runs on.
   Clock Time;
   const CellSettings &Settings;
   KeyValueStore Store;
   WorkerLink Workers;
   AdviceLanes::AskThrough AskAdvice;
-  std::string WorkerPrefix;     ///< Keys of the platform's list of workers.
-  std::string EvacuationPrefix; ///< Keys of the zones that operators want empty.
+  std::string WorkerPrefix;     ///< Of the keys in the platform's list of workers.
+  std::string EvacuationPrefix; ///< Of the keys that name zones to evacuate.
   std::function<Result<sched::WorkerInfo>(std::string_view Id, std::string_view Bytes)>
       DecodeWorker;
   CellMetrics &Metrics;
-  BurnBook &Burn;                          ///< Ends by queue; outlives the terms of this process.
-  std::function<bool()> IsStoreResponsive; ///< Whether the store has answered just now.
+  BurnBook &Burn;                          ///< Ended jobs by queue, over all terms of this process.
+  std::function<bool()> IsStoreResponsive; ///< Whether the store has answered recently.
 };
 
-/// The claim that a term rests on.
+/// The leadership claim under which a term runs.
 struct Claim {
   uint64_t Term = 0;
-  uint64_t LeaderRevision = 0; ///< Of the leader's key as written by this process.
+  uint64_t LeaderRevision = 0; ///< Of the leader key that this process wrote.
   uint64_t Lease = 0;
 };
 
+/// The scheduler of one term. Not thread-safe: all calls come from its strand.
 class SchedulerRunner : public std::enable_shared_from_this<SchedulerRunner> {
 public:
-  /// \p OnEnd is called once, when the term is over by itself.
+  /// \p OnEnd is called once if the term ends without a call to `stop`.
   SchedulerRunner(const SchedulerDependencies &Deps, Claim OwnClaim, std::function<void()> OnEnd);
   void start();
-  /// Sends nothing any more.
+  /// Stops all activity; nothing is sent afterwards.
   void stop();
-  /// Saves what waits to be saved, for a planned stop, for at most \p Time.
+  /// For a planned stop: waits until all pending saves are durable, for at most \p Time.
   Awaitable<void> flush(Milliseconds Time);
   void setMembers(const std::set<std::string> &Names);
-  /// A job that was made durable at \p Revision, and one that was marked as cancelled: told here so
-  /// that they need not wait for the watch.
+  /// Passes on a job that became durable at \p Revision, or a cancellation, ahead of the watch.
   void announceJob(const std::string &Bytes, uint64_t Revision);
   void announceCancel(sched::JobId Id);
   bool loaded() const { return Cell.Loaded; }
   std::string_view state(sched::JobId Id) const { return publicJobState(Cell, Id); }
   uint32_t waiting(const std::string &Queue) const { return waitingJobs(Cell, Queue); }
-  /// What organisations may have running, from now on.
+  /// Applies a new configuration, including the organisations' quotas.
   void setConfiguration(const sched::CellConfiguration &Config);
-  /// What operators want empty, unless this term has read a newer state.
+  /// Applies the set of zones to evacuate, unless this term already has a newer revision.
   void setEvacuatedZones(sched::EvacuatedZones Zones);
   std::string owner(sched::JobId Id) const { return organisationOfJob(Cell, Id); }
   std::string explain(sched::JobId Id) const { return explainJob(Cell, Id, Deps.Time.Now()); }
 
 private:
   using SelfPtr = std::shared_ptr<SchedulerRunner>;
-  /// After a failed call, before the next one.
+  /// Delay before a failed call is repeated.
   static constexpr Milliseconds RetryPause{150};
-  /// An idle worker is asked this often, which keeps its clock known well enough.
+  /// Heartbeat interval of an idle worker; bounds the error of the estimate of its clock.
   static constexpr Milliseconds IdleHeartbeatInterval{30000};
   struct HeartbeatState {
     Milliseconds WorkerClock{0};
-    TimePoint ReadAt{};
-    TimePoint LastBusyAt{};        ///< When something of ours was last known to be there.
-    uint64_t ForgottenThrough = 0; ///< The worker was told to forget ends up to this one.
+    TimePoint ReadAt{};            ///< When WorkerClock was read.
+    TimePoint LastBusyAt{};        ///< When the worker was last known to have a run.
+    uint64_t ForgottenThrough = 0; ///< Ended runs up to this number were acknowledged.
   };
 
   // Loading and watching.
@@ -108,7 +109,7 @@
   enum class HeartbeatOutcome {
     Answered,
     NoAnswer,
-    Ended, ///< The worker is gone or this term is over.
+    Ended, ///< The worker was removed or this term has ended.
   };
   Awaitable<HeartbeatOutcome> sendHeartbeat(std::string Id, Milliseconds Wait);
   void heartbeatFailed(const std::string &Id, const Error &Why, bool IsLongPoll);
@@ -133,8 +134,8 @@
   static Awaitable<void> recordsLoop(SelfPtr Self);
   struct SaveEntry {
     sched::JobId Id = 0;
-    uint64_t Number = 0;
-    bool Ends = false;
+    uint64_t Number = 0; ///< Newest save that the write includes.
+    bool Ends = false;   ///< The job has ended.
   };
   static Awaitable<void> save(SelfPtr Self, Transaction What, std::vector<SaveEntry> Written);
   std::vector<SaveEntry> nextBatch(Transaction &What);
@@ -152,7 +153,8 @@
   void schedulePlacement();
   void runPlacement();
   void endTerm(const char *Why);
-  /// True if this process did not run for longer than its claim holds: somebody else may schedule.
+  /// True if this process was suspended for longer than the leader lease: another process may have
+  /// become the scheduler.
   bool wasSuspended() const;
 
   const SchedulerDependencies Deps;
@@ -161,22 +163,21 @@
   sched::CellState Cell;
   AdviceLanes Lanes;
   std::unordered_map<std::string, HeartbeatState> HeartbeatStates; ///< By worker.
-  std::unordered_set<std::string> HeartbeatLoops;                  ///< Workers with a hold loop.
-  std::unordered_map<std::string, TimePoint>
-      LongPolls; ///< HeartbeatLoops calls: since when nothing was heard.
+  std::unordered_set<std::string> HeartbeatLoops;       ///< Workers with a running heartbeat loop.
+  std::unordered_map<std::string, TimePoint> LongPolls; ///< When last sent or rechecked.
   ListAge WorkerListAge;
-  uint64_t WorkerListRevision = 0; ///< The list of workers is known up to it.
+  uint64_t WorkerListRevision = 0; ///< Of the list of workers as known here.
   CallLosses Losses;
   AdaptiveTimeout CallTimeout;
-  std::unordered_map<std::string, SteadyTimer *> WakeTimers; ///< Loops that wait.
-  std::map<std::string, uint64_t> WorkerRecords; ///< Workers noted in the store, and the revisions.
-  std::set<sched::JobId> StaleCancels;           ///< Marks whose jobs have ended.
-  std::set<std::pair<sched::JobId, bool>> JobsBeingSaved; ///< Jobs, and whether it is their end.
+  std::unordered_map<std::string, SteadyTimer *> WakeTimers; ///< Of waiting loops, by worker.
+  std::map<std::string, uint64_t> WorkerRecords; ///< Revisions of the stored worker records.
+  std::set<sched::JobId> StaleCancels;           ///< Cancellation marks of ended jobs.
+  std::set<std::pair<sched::JobId, bool>> JobsBeingSaved; ///< Job, and whether it has ended.
   int SavesInFlight = 0;
   SteadyTimer SaveTimer;
   SteadyTimer PlacementTimer;
   bool IsPlacementScheduled = false;
-  Steady::duration LastPlacementTime{0}; ///< How long the last pass of placement took.
+  Steady::duration LastPlacementTime{0}; ///< Duration of the last placement pass.
   TimePoint LastTick{};
   bool Stopped = false;
 };
--- a/src/cell/scheduler_saves.cpp
+++ b/src/cell/scheduler_saves.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a scheduler keeps in the store: ends of tasks and jobs, and the workers it uses.
+// Saves the scheduler's state in the store: ended tasks and jobs, and the workers in use.
 #include "cell/scheduler_runner.h"
 
 #include "valveshelf/events.h"
@@ -12,22 +12,22 @@
 
 namespace {
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-// Transactions in flight at a time; a slow store still has to take in the ends of a busy cell.
+// Transactions in flight; allows a slow store to keep up with a busy cell.
 constexpr int MaxSavesInFlight = 12;
-// Bytes of one transaction; keeps a call short on a small link.
+// Per transaction; bounds the time of a call over a slow link.
 constexpr size_t MaxSaveBytes = 64 * 1024;
-// The list of workers in use, and what can be forgotten, is looked through this often.
+// Interval of the check for worker records to write and obsolete keys to remove.
 constexpr Milliseconds RecordsInterval{100};
 } // namespace
 
-// Every write holds only as long as this process is the scheduler.
+// A transaction that applies only while this process is the scheduler.
 Transaction SchedulerRunner::fencedTransaction() const {
   Transaction What;
   What.Conditions.push_back({std::string(LeaderKey), OwnClaim.LeaderRevision});
   return What;
 }
 
-// Adds what the job needs saved; false if there is nothing (any more) or no room for it.
+// Adds the job's unsaved state. False if the job no longer exists or the rows do not fit.
 bool SchedulerRunner::addToTransaction(JobId Id, Transaction &What, std::vector<SaveEntry> &Batch) {
   const auto Found = Cell.Jobs.find(Id);
   if (Found == Cell.Jobs.end())
@@ -35,7 +35,8 @@
   Job &Of = Found->second;
   const SaveEntry Entry{Id, Of.PendingSave, Of.Phase != JobPhase::Live};
   Transaction Rows;
-  // The job's own key guards both kinds: progress that the store writes late finds an ended job.
+  // Both kinds are conditional on the job's key, so that progress which the store applies late
+  // can't follow the job's end.
   Rows.Conditions.push_back({jobKey(Id), Of.Revision});
   if (Entry.Ends) {
     Rows.Puts.push_back({jobKey(Id), encodeEndedJob(*Of.Spec, Of.Phase, Deps.Time.Wall()), 0, 0});
@@ -55,7 +56,7 @@
   return true;
 }
 
-// A batch of jobs to save: those that have ended first, since callers wait for them.
+// The next jobs to save; ended jobs first, since callers wait for their result.
 std::vector<SchedulerRunner::SaveEntry> SchedulerRunner::nextBatch(Transaction &What) {
   std::vector<SaveEntry> Batch;
   size_t Bytes = 0;
@@ -66,8 +67,7 @@
       const auto Of = Cell.Jobs.find(Id);
       const bool Matches =
           Of == Cell.Jobs.end() ? !Ended : Ended == (Of->second.Phase != JobPhase::Live);
-      // An end does not wait for progress that is being written: in a slow store it would be shown
-      // an answer later than it could be.
+      // An end does not wait for a progress save in flight, which a slow store would delay.
       if (!Matches || JobsBeingSaved.count({Id, Ended}) || !addToTransaction(Id, What, Batch))
         continue;
       JobsBeingSaved.insert({Id, Ended});
@@ -76,7 +76,7 @@
   return Batch;
 }
 
-// Counts a job that has ended against its objective. What its caller cancelled counts for nothing.
+// Counts an ended job against its objective; cancelled jobs are excluded.
 void SchedulerRunner::countEnd(const Job &Of) {
   Deps.Metrics.count(metrics::Ends, std::to_string(static_cast<int>(Of.Phase)));
   logEvent(events::JobEnded, {{"job", jobIdText(Of.Spec->Id)},
@@ -105,7 +105,8 @@
   }
 }
 
-// An earlier write of ours may have come through late: take the revisions as they stand.
+// The conditions failed, for example because an earlier write was applied late: adopts the current
+// revisions.
 void SchedulerRunner::saveRejected(const std::vector<SaveEntry> &Batch,
                                    const std::vector<KeyValue> &CurrentItems) {
   std::map<std::string, uint64_t> Revisions;
@@ -116,7 +117,7 @@
     const auto Found = Cell.Jobs.find(Entry.Id);
     if (Found == Cell.Jobs.end())
       continue;
-    // A key that is not listed does not exist (any more). An end asks nothing of the progress.
+    // A key that is not listed does not exist. Saving an end does not depend on the progress key.
     if (!Entry.Ends)
       Found->second.ProgressRevision = Revisions[progressKey(Entry.Id)];
     Found->second.Revision = Revisions[jobKey(Entry.Id)];
@@ -133,7 +134,7 @@
     Self->saveCommitted(Written, value(Answer).Revision);
   } else if (ok(Answer)) {
     if (Self->hasOtherLeader(value(Answer).CurrentItems))
-      co_return Self->endTerm("the store has another scheduler");
+      co_return Self->endTerm("the leader key in the store belongs to another scheduler");
     Self->saveRejected(Written, value(Answer).CurrentItems);
   } else {
     co_await sleepFor(RetryPause);
@@ -167,14 +168,14 @@
     co_await sleepFor(Deps.Settings.Timing.SaveDelay / 2);
 }
 
-// After a write whose conditions do not hold: the leader's key is another's, or gone.
+// For a write whose conditions failed: true if the leader key was removed or rewritten.
 bool SchedulerRunner::hasOtherLeader(const std::vector<KeyValue> &CurrentItems) const {
   return std::none_of(CurrentItems.begin(), CurrentItems.end(), [&](const KeyValue &Item) {
     return Item.Key == LeaderKey && Item.Revision == OwnClaim.LeaderRevision;
   });
 }
 
-// The workers of the list may be used from now on.
+// The records of these workers are durable; runs may now be started on them.
 void SchedulerRunner::workerRecordsWritten(const std::vector<std::string> &Noted,
                                            uint64_t Revision) {
   for (const std::string &Id : Noted) {
@@ -189,7 +190,7 @@
     WorkerRecords.erase(Id);
 }
 
-// An earlier removal or note was carried out though its answer was lost.
+// Adopts the stored records after a conflict: an earlier write whose answer was lost was applied.
 void SchedulerRunner::reconcileWorkerRecords(const std::vector<std::string> &Asked,
                                              const std::vector<KeyValue> &CurrentItems) {
   workerRecordsRemoved(Asked);
@@ -199,7 +200,8 @@
         WorkerRecords[Id] = Item.Revision;
 }
 
-// Notes workers before their first use, and removes what is no longer needed.
+// Writes a record of each worker before its first use, and removes obsolete records, cancellation
+// marks and ended jobs.
 Awaitable<void> SchedulerRunner::recordsLoop(SelfPtr Self) {
   while (!Self->Stopped) {
     Transaction What = Self->fencedTransaction();
@@ -209,8 +211,8 @@
         What.Puts.push_back({workerKey(Id), encodeWorkerRecord(On.Info), 0, 0});
         Noted.push_back(Id);
       }
-    // On the condition that the record is the one that was noted: a removal that the store carries
-    // out late must not take the record of a worker that has come back and is in use again.
+    // Conditional on the record's revision: a removal that the store applies late must not remove
+    // the record of a worker that is in use again.
     std::vector<std::string> Left;
     for (const auto &[Id, Revision] : Self->WorkerRecords)
       if (!Self->Cell.Workers.count(Id) && What.rows() + 2 <= MaxTransactionRows) {
@@ -241,7 +243,7 @@
       continue;
     }
     if (!value(Answer).Applied && Self->hasOtherLeader(value(Answer).CurrentItems))
-      co_return Self->endTerm("the store has another scheduler");
+      co_return Self->endTerm("the leader key in the store belongs to another scheduler");
     if (!value(Answer).Applied) {
       Self->reconcileWorkerRecords(Left, value(Answer).CurrentItems);
       co_await sleepFor(RetryPause);
--- a/src/cell/scheduler_worker_list.cpp
+++ b/src/cell/scheduler_worker_list.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a scheduler knows of the platform's list of workers, and how old that is.
+// Keeps the scheduler's copy of the platform's list of workers current and detects when it is
+// stale.
 #include "cell/scheduler_runner.h"
 
 #include "valveshelf/events.h"
@@ -8,13 +9,11 @@
 using namespace sched;
 
 namespace {
-// Between two watches of the platform's list of workers, which changes with each of their
-// check-ins; otherwise each of them would cost a call. A worker that begins to leave is known so
-// much later; it runs on for seconds.
+// Pause between two watches of the list of workers, which changes with every check-in; limits the
+// number of calls. Delays the detection of draining workers by as much.
 constexpr Milliseconds WorkerWatchPause{250};
-// A watch may be answered and silent while entries change, as long as a store gives up its history.
-// After so many answers with nothing in them the list is read: a capacity that has shrunk is to be
-// known within a worker's time out and one check-in.
+// After this many consecutive empty watch answers the list is read in full, because a store that is
+// discarding history may return empty answers although entries have changed.
 constexpr int MaxEmptyWatches = 2;
 } // namespace
 
@@ -23,12 +22,11 @@
   const std::string Id = lastPart(Item.Key, Deps.WorkerPrefix);
   if (IsRemoved) {
     workerUnlisted(Cell, Id, Now);
-    return wakeHeartbeatLoop(Id); // what it holds is asked at once: it may be gone
+    return wakeHeartbeatLoop(Id); // send a heartbeat at once: the worker may have failed
   }
   Result<WorkerInfo> Read = Deps.DecodeWorker(Id, Item.Value);
   if (!ok(Read)) {
-    // Somebody else may have written it, also over a worker's own: what it says is no worker's
-    // word.
+    // Another writer may have overwritten the worker's entry; its content can't be trusted.
     logEvent(events::RecordUnreadable, {{"key", Item.Key}, {"why", error(Read).Detail}});
     return workerUnlisted(Cell, Id, Now);
   }
@@ -48,7 +46,7 @@
   if (!ok(Read))
     co_return error(Read);
   if (Stopped || value(Read).Revision < WorkerListRevision)
-    co_return Done{}; // changes that came meanwhile are newer
+    co_return Done{}; // the watch has delivered newer changes meanwhile
   std::set<std::string> Seen;
   for (const KeyValue &Item : value(Read).Items) {
     Seen.insert(lastPart(Item.Key, Deps.WorkerPrefix));
@@ -66,8 +64,8 @@
   co_return Done{};
 }
 
-// Takes in what has changed by an answer to a call that was made at \p SentAt and could be held for
-// \p Wait. Answers may overtake each other; what is known already is passed over.
+// Applies the answer to a watch that was sent at \p SentAt with a longest wait of \p Wait. Answers
+// may arrive out of order; changes that are already known are ignored.
 void SchedulerRunner::applyWorkerChanges(const KeyChanges &Read, TimePoint SentAt,
                                          Milliseconds Wait) {
   for (const KeyChange &Change : Read.Changes)
@@ -81,7 +79,7 @@
 }
 
 Awaitable<void> SchedulerRunner::watchWorkers(SelfPtr Self) {
-  int Empty = 0; // answers in a row in which nothing was
+  int Empty = 0; // consecutive empty answers
   while (!Self->Stopped) {
     const TimePoint SentAt = Self->Deps.Time.Now();
     const Milliseconds Wait = Self->Deps.Settings.Timing.WatchTime;
@@ -92,13 +90,13 @@
     if (ok(Read)) {
       Empty = value(Read).Changes.empty() ? Empty + 1 : 0;
       Self->applyWorkerChanges(value(Read), SentAt, Wait);
-      // Not while there is more. Each worker's check-in is a change: those of some thousands a
-      // second outran one answer each pause, and leaving workers were heard of more and more late.
+      // No pause after a truncated answer: with thousands of check-ins a second, one answer per
+      // pause would fall behind and draining workers would be detected ever later.
       if (!value(Read).Changes.empty() && !mayBeTruncated(value(Read)))
         co_await sleepFor(WorkerWatchPause);
     } else if (error(Read).Kind != ErrorKind::NotFound) {
-      // The next watch goes on from where this one would have. To read a long list again just then
-      // would add to the load under which the answer was lost.
+      // Watch again from the same revision; reading the whole list would add to the load under
+      // which the answer was lost.
       co_await sleepFor(RetryPause);
       continue;
     }
@@ -114,7 +112,7 @@
   const TimePoint SentAt = Self->Deps.Time.Now();
   Result<KeyChanges> Read = co_await Self->Deps.Store.Watch(
       Self->Deps.WorkerPrefix, Self->WorkerListRevision, Milliseconds(0));
-  if (!Self->Stopped && ok(Read)) // a history that is gone is the watch's to find out
+  if (!Self->Stopped && ok(Read)) // watchWorkers() handles compacted history
     Self->applyWorkerChanges(value(Read), SentAt, Milliseconds(0));
 }
 
@@ -126,7 +124,7 @@
     spawnLater(Deps.Where, refreshWorkerList(shared_from_this()));
 }
 
-// Notes the change in the log as well.
+// Also logs when the state changes.
 bool SchedulerRunner::isWorkerListStale() {
   if (!Cell.Loaded)
     return false;
