--- a/src/cell/caller_api.cpp
+++ b/src/cell/caller_api.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Routes and answers callers' requests.
+// Routing, authentication and handling of callers' requests.
 #include "cell/caller_api.h"
 
 #include "valveshelf/events.h"
@@ -8,9 +8,9 @@
 using namespace sched;
 
 namespace {
-// The scheduler answers from memory; without an answer by then the store is asked.
+// After this the state is read from the store instead.
 constexpr Milliseconds SchedulerTimeout{300};
-// Before a refusal, which is to come at once; an answer takes 2 ms.
+// Short, because it delays the refusal of a submission.
 constexpr Milliseconds RefusalTimeout{100};
 constexpr int HttpOk = 200;
 constexpr int HttpGone = 410;
@@ -31,8 +31,8 @@
   return "queued";
 }
 
-// A task, or a gang as a whole, that its organisation's maximum could never hold would wait for
-// ever: its caller is told at once, and it has not run.
+// Rejects a job with a task, or a gang as a whole, that exceeds its organisation's maximum and so
+// could never start.
 std::optional<Error> exceedsMaximum(const CellConfiguration &Config, const JobSpec &Spec) {
   const Organisation *Of = findOrganisation(Config, Spec.Organisation);
   if (!Of)
@@ -43,7 +43,7 @@
     if (!isWithin(Least, Of->Maximum))
       return Error{ErrorKind::Impossible,
                    "step " + std::to_string(I) +
-                       " needs more at a time than the organisation may have"};
+                       " needs more resources at once than its organisation's maximum"};
   }
   return std::nullopt;
 }
@@ -71,11 +71,11 @@
   if (To.Public || !Config.current()->Organisations)
     return std::string();
   if (Config.hasStaleKeys())
-    return Error{ErrorKind::StoreUnavailable, "keys can't be confirmed just now"};
+    return Error{ErrorKind::StoreUnavailable, "the configuration is too old to check the key"};
   const Organisation *Of = Request.Key ? findKeyOwner(Config.callerKeys(), *Request.Key) : nullptr;
   if (!Of)
-    return Error{ErrorKind::UnknownKey, Request.Key ? "the key is not in force"
-                                                    : "a key is needed here, one and well formed"};
+    return Error{ErrorKind::UnknownKey, Request.Key ? "the key is unknown or revoked"
+                                                    : "exactly one well-formed key is required"};
   return Of->Name;
 }
 
@@ -87,7 +87,7 @@
   const Queue *To = findQueue(*Now, withoutPort(Request.Host), Path);
   if (!To)
     co_return errorResponse(
-        {ErrorKind::NotFound, "there is no queue at " + Request.Host + Request.Target});
+        {ErrorKind::NotFound, "no queue is configured for " + Request.Host + Request.Target});
   const std::string Rest(Path.substr(To->PathPrefix.size()));
   Result<std::string> Caller = identify(*To, Request);
   if (!ok(Caller))
@@ -97,7 +97,7 @@
   const auto Id = parseJobId(Rest);
   if (!Id)
     co_return errorResponse(
-        {ErrorKind::BadRequest, "the path does not end in 16 hexadecimal digits"});
+        {ErrorKind::BadRequest, "the path must end in a job id of 16 hexadecimal digits"});
   if (Request.Method == "POST")
     co_return co_await submit(*To, *Id, std::move(value(Caller)), std::move(Request.Body));
   if (Request.Method == "GET")
@@ -105,7 +105,8 @@
   if (Request.Method == "DELETE")
     co_return co_await cancel(*Id, std::move(value(Caller)));
   co_return errorResponse(
-      {ErrorKind::BadRequest, "there is no method " + Request.Method + " here"});
+      {ErrorKind::BadRequest,
+       "method " + Request.Method + " is not supported; expected GET, POST or DELETE"});
 }
 
 Awaitable<HttpResponse> CallerApi::submit(const Queue &To, JobId Id, std::string Caller,
@@ -129,8 +130,8 @@
   const TimePoint ReceivedAt = Time.Now();
   const std::string Submitter = Spec.Organisation;
   Result<Done> Submitted = co_await In.submit(std::move(Spec));
-  // "It will never run" would be untrue of a job that was handed in before and is handed in again
-  // while the store is away. The scheduler knows only jobs that are kept.
+  // The job may have been submitted before and repeated during a store outage; refusing it would
+  // wrongly say that it will never run. The scheduler only knows durable jobs.
   if (!ok(Submitted) && error(Submitted).Kind == ErrorKind::StoreUnavailable) {
     const JobStatus Status = co_await askScheduler(Id, RefusalTimeout);
     if (!Status.State.empty() && mayAccess(Submitter, Status.Organisation))
@@ -164,7 +165,7 @@
   if (!ok(Read))
     co_return error(Read);
   if (value(Read).Revision == 0)
-    co_return Error{ErrorKind::NotFound, "there is no such job"};
+    co_return Error{ErrorKind::NotFound, "the job does not exist"};
   Result<StoredJob> Stored = decodeJob(value(Read).Value);
   if (!ok(Stored))
     co_return error(Stored);
@@ -176,7 +177,8 @@
   if (value(Found).State.empty())
     Found = co_await readState(Id);
   if (ok(Found) && !mayAccess(Caller, value(Found).Organisation))
-    co_return refusal({ErrorKind::Forbidden, "the job is another organisation's"}, jobIdText(Id));
+    co_return refusal({ErrorKind::Forbidden, "the job belongs to another organisation"},
+                      jobIdText(Id));
   if (ok(Found))
     co_return jsonResponse(HttpOk, Codec.EncodeState(value(Found).State));
   if (error(Found).Kind != ErrorKind::NotFound)
@@ -202,7 +204,7 @@
   if (const auto LocalScheduler = Lead.scheduler())
     co_return jsonResponse(HttpOk, Codec.EncodeWaiting(LocalScheduler->waiting(Queue)));
   const auto &Leader = View.snapshot().Leader;
-  const Error Unknown{ErrorKind::NotOwner, "the scheduler can't be asked just now"};
+  const Error Unknown{ErrorKind::NotOwner, "the scheduler can't be reached"};
   if (!Leader || Leader->Name == Settings.Member)
     co_return errorResponse(Unknown);
   cell::WaitingRequest Question;
--- a/src/cell/caller_api.h
+++ b/src/cell/caller_api.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What callers ask of an entry process: hand a job in, see its state, cancel it, count what waits.
+// The HTTP API for callers of an entry process: submit a job, query its state, cancel it, and count
+// the waiting jobs of a queue.
 #pragma once
 
 #include "cell/cell_view.h"
@@ -14,23 +15,23 @@
 
 namespace valveshelf {
 
-/// The wire form of submissions and answers.
+/// Encodes and decodes the bodies of requests and responses.
 struct CallerCodec {
   std::function<Result<sched::JobSpec>(std::string_view Body)> DecodeSubmission;
   std::function<std::string(std::string_view State)> EncodeState;
   std::function<std::string(uint64_t Count)> EncodeWaiting;
 };
 
-/// A request of a caller, read whole.
+/// A complete request of a caller.
 struct CallerRequest {
   std::string Method;
   std::string Target;
   std::string Host;
-  std::optional<std::string> Key; ///< Empty: none that could be one.
+  std::optional<std::string> Key; ///< The API key; empty: none, or malformed.
   std::string Body;
 };
 
-/// Lives on one strand.
+/// Not thread-safe: all calls come from its strand.
 class CallerApi {
 public:
   CallerApi(const CellSettings &Settings, Clock Time, CallerCodec Codec, KeyValueStore Store,
@@ -38,18 +39,18 @@
             const CellLink &Peers, std::function<std::chrono::seconds()> RetryAfterOutage);
 
   Awaitable<HttpResponse> answer(CallerRequest Request);
-  /// This process's answers to its peers, if it schedules.
+  /// Answer queries of peers. NotOwner: this process is not the scheduler.
   cell::JobStateReply jobState(const cell::JobStateRequest &Request) const;
   cell::WaitingReply waiting(const cell::WaitingRequest &Request) const;
 
 private:
-  /// What the scheduler says of a job; an empty state: it can't be asked or does not know the job.
+  /// State and owner of a job. An empty state: the scheduler can't be reached or does not know it.
   struct JobStatus {
     std::string State;
     std::string Organisation;
   };
   HttpResponse refusal(const Error &Why, const std::string &Job) const;
-  /// Whom the caller speaks for; empty where no key is needed.
+  /// Authenticates the caller; returns its organisation, empty where no key is required.
   Result<std::string> identify(const sched::Queue &To, const CallerRequest &Request) const;
   Awaitable<HttpResponse> submit(const sched::Queue &To, sched::JobId Id, std::string Caller,
                                  std::string Body);
--- a/src/cell/cell_view.cpp
+++ b/src/cell/cell_view.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The watch on members and leader, and the lease of this process's own entry.
+// Watch on the leader and the roster, and the lease of this process's member key.
 #include "cell/cell_view.h"
 
 #include "cell/roster.h"
@@ -11,14 +11,14 @@
 using namespace sched;
 
 namespace {
-// After a failed call, before the next one.
+// Delay before a failed call is repeated.
 constexpr Milliseconds RetryPause{150};
-// A member's own entry is not urgent. When hundreds start at once the store can't take all entries
-// in, and a claim has to come through between them: the pause doubles up to this one.
+// Limit of the exponential backoff for registering as a member, so that leadership claims get
+// through when hundreds of processes start at once.
 constexpr Milliseconds MaxRegisterPause{2400};
-// Between two readings of a snapshot that is doubted.
+// Shortest time between two requested refreshes.
 constexpr Milliseconds RefreshPause{300};
-// Renewals in one life of a lease; two may be lost.
+// Renewals per time to live of a lease; two may be lost.
 constexpr int RenewalsPerTtl = 3;
 } // namespace
 
@@ -92,7 +92,7 @@
   if (!ok(Read))
     co_return error(Read);
   if (value(Read).Revision < Revision)
-    co_return Done{}; // the watch has brought newer news meanwhile
+    co_return Done{}; // the watch has delivered newer changes meanwhile
   Snapshot = {};
   updateMembers();
   for (const KeyValue &Item : value(Read).Items)
@@ -120,7 +120,7 @@
       continue;
     }
     for (const KeyChange &Change : value(Read).Changes)
-      if (Change.Item.Revision > Revision) // a reading may have overtaken the watch
+      if (Change.Item.Revision > Revision) // else a refresh has already delivered it
         applyItem(Change.Item, Change.IsRemoved);
     Revision = std::max(Revision, value(Read).Revision);
     if (value(Read).Changes.empty())
@@ -150,7 +150,7 @@
   Milliseconds Pause = RetryPause;
   while (!Stopped) {
     Result<Done> Kept = Done{};
-    // A lease of another length is a new one; the old one lapses without its key.
+    // A longer lease has to be granted anew; the old one expires without removing the key.
     if (Lease == 0 || memberLease() > LeaseTtl + LeaseTtl / 2)
       Kept = co_await registerMember();
     else
@@ -162,7 +162,7 @@
     }
     if (error(Kept).Kind == ErrorKind::NotFound)
       Lease = 0;
-    // A renewal has to come in time; an entry that is refused waits, each process its own time.
+    // Renewals are retried quickly; registrations back off with jitter.
     std::uniform_int_distribution<int64_t> Spread(Pause.count() / 2, Pause.count() * 3 / 2);
     co_await sleepFor(Milliseconds(Spread(Random)));
     Pause = Lease == 0 ? std::min(Pause * 2, MaxRegisterPause) : RetryPause;
--- a/src/cell/cell_view.h
+++ b/src/cell/cell_view.h
@@ -1,6 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Which process schedules and which others everybody knows, as the store has it; and this process's
-// own place in the list of all.
+// Tracks the cell's leader and roster as stored, and keeps this process registered as a member.
 #pragma once
 
 #include "valveshelf/cell_records.h"
@@ -15,17 +14,17 @@
 
 namespace valveshelf {
 
-/// What of the cell is known here. A copy is a consistent snapshot.
+/// A consistent snapshot of what this process knows of the cell.
 struct CellSnapshot {
-  /// By name: those of the roster, and all of the cell while this process schedules.
+  /// By name: the members of the roster; while this process is the scheduler, all of the cell.
   std::map<std::string, sched::Member> Members;
-  sched::Roster Roster; ///< As the store has it.
+  sched::Roster Roster; ///< As stored.
   std::optional<sched::Leader> Leader;
-  uint64_t LeaderRevision = 0; ///< Of the leader's key; 0: there is none.
+  uint64_t LeaderRevision = 0; ///< Of the leader key; 0: the key does not exist.
   bool IsLoaded = false;       ///< The store has been read.
 };
 
-/// Watches the cell. Lives on one strand; all calls come from there.
+/// Watches the cell. Not thread-safe: all calls come from its strand.
 class CellView {
 public:
   /// \p Changed is called after each change of the snapshot.
@@ -34,15 +33,15 @@
 
   void start();
   void stop() { Stopped = true; }
-  /// Gives up this process's own place in the list, at once.
+  /// Stops, and revokes the lease of this process's member key.
   Awaitable<void> leave();
   const CellSnapshot &snapshot() const { return Snapshot; }
-  /// While this process schedules: all processes of the cell. Without any the roster holds.
+  /// Sets all members of the cell, while this process is the scheduler; empty: use the roster.
   void setAllMembers(std::map<std::string, sched::Member> All);
-  /// Something speaks against the snapshot, such as a scheduler that says it is none: it is read
-  /// again, soon.
+  /// Reads the cell from the store again, for example after the supposed scheduler denied being
+  /// one. Repeated calls are limited in rate.
   void refreshSoon();
-  /// The longest wait of a watch that every process has.
+  /// Longest wait of a watch that every process runs; grows with the number of processes.
   Milliseconds watchTime() const;
 
 private:
@@ -61,11 +60,11 @@
   const CellSettings &Settings;
   const std::function<void()> Changed;
   CellSnapshot Snapshot;
-  uint64_t Revision = 0; ///< The watch goes on from here; 0: everything has to be read.
-  std::map<std::string, sched::Member> AllMembers; ///< While this process schedules.
-  uint64_t Lease = 0;                              ///< Of this process's own key; 0: none.
-  Milliseconds LeaseTtl{0};                        ///< That it was granted for.
-  bool IsRefreshing = false;                       ///< The snapshot is being read again.
+  uint64_t Revision = 0; ///< The watch continues after it; 0: read all keys first.
+  std::map<std::string, sched::Member> AllMembers; ///< While this process is the scheduler.
+  uint64_t Lease = 0;                              ///< Of this process's member key; 0: none.
+  Milliseconds LeaseTtl{0}; ///< Time to live that the lease was granted with.
+  bool IsRefreshing = false;
   bool Stopped = false;
 };
 
--- a/src/cell/intake.cpp
+++ b/src/cell/intake.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Group commit of submissions, and the marks of cancellations.
+// Group commit of submissions; writes cancellation marks.
 #include "cell/intake.h"
 
 #include <boost/asio.hpp>
@@ -10,15 +10,16 @@
 using namespace sched;
 
 namespace {
-// Transactions in flight at a time; with fewer, a slow store would hold callers up in line.
+// Transactions in flight; allows for a slow store.
 constexpr int MaxWritesInFlight = 4;
-// A condition and a value for each job.
+// Each job takes a condition and a put.
 constexpr size_t MaxBatch = MaxTransactionRows / 2;
-// Bytes of one transaction; keeps a call short on a small link.
+// Per transaction; bounds the time of a call over a slow link.
 constexpr size_t MaxBatchBytes = 64 * 1024;
-// After a write without an answer, before it is tried again.
+// Delay before a write with an unknown outcome is retried.
 constexpr Milliseconds RetryPause{40};
-const Error WrongOrganisation{ErrorKind::Forbidden, "another organisation's job has this id"};
+const Error WrongOrganisation{ErrorKind::Forbidden,
+                              "a job with this id belongs to another organisation"};
 } // namespace
 
 Intake::Intake(Executor Where, KeyValueStore Store, Clock Time, const CellSettings &Settings,
@@ -27,9 +28,10 @@
       IsStoreSilent(std::move(IsStoreSilent)), Announce(std::move(Announce)) {}
 
 Awaitable<Result<Done>> Intake::submit(JobSpec Spec) {
-  // Refused before anything is written: the caller may try elsewhere, and nothing will run.
+  // Nothing was written, so the caller can safely submit the job elsewhere.
   if (IsStoreSilent())
-    co_return Error{ErrorKind::StoreUnavailable, "the store does not answer"};
+    co_return Error{ErrorKind::StoreUnavailable,
+                    "the store does not answer; the job was not accepted"};
   auto Submission = std::make_shared<Pending>(Where);
   Submission->Id = Spec.Id;
   Submission->Organisation = Spec.Organisation;
@@ -68,8 +70,8 @@
     if (Which->MayBeWritten && Time.Now() < Which->Deadline)
       Waiting.push_back(Which);
     else if (Which->MayBeWritten)
-      complete(Which,
-               Error{ErrorKind::OutcomeUnknown, "the store did not confirm the job in time"});
+      complete(Which, Error{ErrorKind::OutcomeUnknown,
+                            "the store did not confirm the job before the submission deadline"});
     else
       complete(Which, Error{ErrorKind::StoreUnavailable, Why.Detail});
   }
@@ -95,7 +97,7 @@
     }
     Announce(std::move(Update));
   } else {
-    // Jobs that stand there already were handed in before; the others are tried again.
+    // Jobs that already exist were submitted before; the others are retried.
     std::map<std::string, KeyValue> CurrentItems;
     for (KeyValue &Item : value(Written).CurrentItems)
       CurrentItems[Item.Key] = Item;
@@ -112,7 +114,7 @@
         continue;
       }
       complete(Which, Done{});
-      // This process's own write, whose answer was lost: nobody has told the scheduler yet.
+      // Written by this process, but the answer was lost and the job was not announced.
       if (Which->MayBeWritten)
         Announce({{std::move(Which->Bytes)}, Revision, {}});
     }
@@ -132,7 +134,7 @@
   while (Time.Now() < Deadline) {
     Result<KeyValue> Read = co_await Store.Get(jobKey(Id));
     if (ok(Read) && value(Read).Revision == 0)
-      co_return Error{ErrorKind::NotFound, "there is no such job"};
+      co_return Error{ErrorKind::NotFound, "the job does not exist"};
     if (ok(Read)) {
       Result<StoredJob> Stored = decodeJob(value(Read).Value);
       if (!ok(Stored))
@@ -142,7 +144,7 @@
       if (value(Stored).Phase == JobPhase::Cancelled)
         co_return Done{};
       if (value(Stored).Phase != JobPhase::Live)
-        co_return Error{ErrorKind::NotFound, "the job has ended"};
+        co_return Error{ErrorKind::NotFound, "the job has already ended"};
       Transaction Mark;
       Mark.Conditions.push_back({jobKey(Id), value(Read).Revision});
       Mark.Puts.push_back({cancelKey(Id), "1", 0, 0});
@@ -152,7 +154,7 @@
         co_return Done{};
       }
       if (ok(Written))
-        continue; // the job has just ended; read again
+        continue; // the job was modified meanwhile; read it again
       MayBeWritten = MayBeWritten || error(Written).Kind == ErrorKind::OutcomeUnknown;
       Last = error(Written);
     } else {
--- a/src/cell/intake.h
+++ b/src/cell/intake.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Makes what callers hand in durable: submissions, many to a transaction, and cancellations.
+// Makes callers' submissions and cancellations durable; submissions are batched into transactions.
 #pragma once
 
 #include "valveshelf/cell_records.h"
@@ -14,30 +14,30 @@
 
 namespace valveshelf {
 
-/// Told of what has just become durable.
+/// Jobs and cancellations that have just become durable.
 struct IntakeUpdate {
-  std::vector<std::string> Jobs; ///< Their records.
-  uint64_t Revision = 0;         ///< Of the jobs' keys.
+  std::vector<std::string> Jobs; ///< Encoded job records.
+  uint64_t Revision = 0;         ///< Of the transaction that wrote the jobs.
   std::vector<sched::JobId> Cancelled;
 };
 
-/// True if a caller of organisation \p Caller may see and change work of \p Owner. Work that was
-/// accepted without a key is anybody's.
+/// True if a caller of organisation \p Caller may see and change jobs of organisation \p Owner.
+/// Jobs accepted without a key (empty \p Owner) are accessible to everyone.
 bool mayAccess(const std::string &Caller, const std::string &Owner);
 
-/// Lives on one strand; all calls come from there.
+/// Not thread-safe: all calls come from its strand.
 class Intake {
 public:
-  /// \p IsStoreSilent: the store does not answer; what is written now has no certain outcome.
+  /// \p IsStoreSilent: true while the store does not answer, so that writes have no known outcome.
   Intake(Executor Where, KeyValueStore Store, Clock Time, const CellSettings &Settings,
          std::function<bool()> IsStoreSilent, std::function<void(IntakeUpdate)> Announce);
 
-  /// Returns once the job is durable. StoreUnavailable: it surely is not and never will be.
-  /// OutcomeUnknown: it may be, or may still become so. Forbidden: another organisation's job has
-  /// the id.
+  /// Returns once the job is durable. StoreUnavailable: it is not and will not become durable.
+  /// OutcomeUnknown: it may be or become durable. Forbidden: a job of another organisation has the
+  /// same id.
   Awaitable<Result<Done>> submit(sched::JobSpec Spec);
-  /// Returns once the mark is durable. NotFound: there is no such job, or it has ended otherwise.
-  /// Forbidden: it is not \p Organisation's.
+  /// Returns once the cancellation is durable. NotFound: the job does not exist or has completed or
+  /// failed. Forbidden: it belongs to another organisation.
   Awaitable<Result<Done>> cancel(sched::JobId Id, std::string Organisation);
 
 private:
@@ -46,7 +46,7 @@
     std::string Organisation;
     std::string Bytes;
     TimePoint Deadline{};
-    bool MayBeWritten = false; ///< A write of it got no answer.
+    bool MayBeWritten = false; ///< The outcome of an earlier write is unknown.
     std::optional<Result<Done>> Outcome;
     SteadyTimer Wake;
     explicit Pending(Executor Where) : Wake(Where, TimePoint::max()) {}
@@ -65,7 +65,7 @@
   const std::function<bool()> IsStoreSilent;
   const std::function<void(IntakeUpdate)> Announce;
   std::deque<PendingPtr> Waiting;
-  int WritesInFlight = 0; ///< Transactions in flight.
+  int WritesInFlight = 0;
 };
 
 } // namespace valveshelf
