--- a/src/cell/adaptive_timeout.cpp
+++ b/src/cell/adaptive_timeout.cpp
@@ -1,17 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
-// Doubles and halves the time that an order waits.
+// Doubles and halves the timeout at the end of each window.
 #include "cell/adaptive_timeout.h"
 
 #include <algorithm>
 
 namespace valveshelf {
 namespace {
-// Calls in a window: 20 ms of a busy scheduler's, some 200 ms of a small one's.
 constexpr int WindowCalls = 32;
-// Workers that leave orders unanswered are one in twenty on the users' worst days.
+// More than one unanswered call in this many indicates a saturated link rather than failed workers.
 constexpr int MaxLossDivisor = 8;
-// Waves of orders come some 0.3 s apart; a time that falls between two of them makes the next one
-// fill the link again. So many windows are 0.3 s of 1,700 orders a second.
+// Windows with few unanswered calls before the timeout halves; spans more than one burst of calls,
+// since a timeout that fell between two bursts would saturate the link again.
 constexpr int CalmWindowsToHalve = 16;
 } // namespace
 
--- a/src/cell/adaptive_timeout.h
+++ b/src/cell/adaptive_timeout.h
@@ -1,28 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
-// How long an order to a worker waits for its answer, as a pure function of how orders fared.
+// The adaptive timeout for calls to workers that start or stop runs, as a function of the answers.
 #pragma once
 
 #include "valveshelf/clock.h"
 
 namespace valveshelf {
 
-/// It answers the load of this box's own link standing full: then the answers of many workers are
-/// late together, and each order that is given up adds a stop, a look and another start to the
-/// link. Where few orders get no answer the fault is with their workers, and waiting longer for
-/// them would only put off the next try.
-/// Invariant: Least <= Timeout <= Most.
+/// Grows while this box's network link is saturated: then many answers are late, and each call that
+/// times out adds a stop, a heartbeat and another start to the link. A few unanswered calls are the
+/// fault of their workers and do not change it. Not thread-safe.
+/// Invariant: Min <= Current <= Max.
 struct AdaptiveTimeout {
-  Milliseconds Min{150};  ///< The timeout of a calm link.
-  Milliseconds Max{1000}; ///< Of the slowest; a quick check's whole time is about twice as long.
+  Milliseconds Min{150};  ///< While the link is not saturated.
+  Milliseconds Max{1000}; ///< Upper limit on a saturated link.
   Milliseconds Current = Min;
-  int Calls = 0;       ///< In the window under way,
-  int Unanswered = 0;  ///< and those of them that got no answer.
-  int CalmWindows = 0; ///< In a row, before it.
+  int Calls = 0;       ///< In the current window.
+  int Unanswered = 0;  ///< Of these calls.
+  int CalmWindows = 0; ///< Consecutive earlier windows with few unanswered calls.
 };
 
-/// Notes what became of an order. At the end of a window of orders the time doubles if more than
-/// one in eight got no answer; it halves after a number of windows without that. Otherwise a link
-/// that stands full is filled further with orders that are given up too early and sent again.
+/// Records the result of a call. At the end of a window of calls the timeout doubles if more than
+/// one in eight was unanswered; it halves after a number of consecutive windows without that.
 void noteCall(AdaptiveTimeout &CallTimeout, bool Answered);
 
 } // namespace valveshelf
--- a/src/cell/advice_lanes.cpp
+++ b/src/cell/advice_lanes.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Chooses a lane for each question; heavy ones never take all of them.
+// Lane selection. Long requests never occupy all lanes.
 #include "cell/advice_lanes.h"
 
 #include <algorithm>
@@ -8,17 +8,15 @@
 using namespace sched;
 
 namespace {
-// Longer questions count as heavy.
+// Requests that are expected to take longer count as long.
 constexpr Milliseconds LongRequestThreshold{150};
-// Lanes that heavy questions leave to others. Short ones go first, so that beyond these they wait
-// for the next lane that falls free, which is soon where there are many. More of them kept back
-// would stand idle while long questions wait.
+// Lanes reserved for short requests.
 constexpr size_t ShortRequestLanes = 2;
-// A lane that failed is left alone for this time; its question may still be served there. The time
-// doubles with each further failure: a box that has lost power stays on the list for a while.
+// Initial backoff of a failed lane, where the request may still be in progress. Doubles with each
+// consecutive failure.
 constexpr Milliseconds LaneBackoff{700};
 constexpr int MaxBackoffDoublings = 2;
-// Added to the expected time of a question.
+// Part of a request's timeout.
 constexpr Milliseconds TimeoutSlack{400};
 constexpr int MaxTries = 3;
 } // namespace
@@ -53,8 +51,8 @@
   return Lanes.size() > ShortRequestLanes ? Lanes.size() - ShortRequestLanes : 1;
 }
 
-// One that is known to answer, before those of which nothing is known. In a large fleet with few
-// questions the dead boxes are then met once, not each time that their turn comes.
+// Prefers lanes whose last request succeeded, so that with few requests in a large cell unreachable
+// members are not tried over and over.
 std::map<std::string, AdviceLanes::Lane>::iterator AdviceLanes::freeLane() {
   auto Best = Lanes.end();
   for (auto At = Lanes.begin(); At != Lanes.end(); ++At) {
--- a/src/cell/advice_lanes.h
+++ b/src/cell/advice_lanes.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Questions for advice, spread over all processes of the cell: the service takes one call of each
-// at a time, so that each process is a lane of its own.
+// Distributes advice requests over the members of the cell. The advice service processes one call
+// per box at a time, so each member is a separate lane.
 #pragma once
 
 #include "valveshelf/cell_state.h"
@@ -15,29 +15,31 @@
 
 namespace valveshelf {
 
-/// StillAlive on one strand; all calls come from there.
+/// A priority queue of advice requests and the lanes that serve it. Not thread-safe: all calls come
+/// from its strand. Call `stop` before destroying it; requests in flight may outlive it then.
 class AdviceLanes {
 public:
-  /// Asks through the member \p Lane.
+  /// Sends a request through the member \p Lane.
   using AskThrough = std::function<Awaitable<Result<Advice>>(std::string Lane, sched::StepKey Step,
                                                              std::vector<std::string> Workers,
                                                              Milliseconds Timeout)>;
-  /// \p Took: since the question was added.
+  /// Called once per request, unless stopped. \p Took: time since the request was added.
   using Answered = std::function<void(const sched::Effects::AdviceRequest &, const Result<Advice> &,
                                       const std::string &Lane, Steady::duration Took)>;
 
   AdviceLanes(Executor Where, Clock Time, AskThrough Ask, Answered OnAnswer);
-  /// The members that may be asked through.
+  /// Sets the members that requests may be sent through.
   void setLanes(const std::set<std::string> &Names);
   void add(sched::Effects::AdviceRequest Request);
+  /// Drops queued requests; no answers are reported afterwards.
   void stop();
 
 private:
   struct Lane {
     bool Busy = false;
-    TimePoint BackoffUntil{}; ///< It failed; left alone until then.
+    TimePoint BackoffUntil{};
     int FailuresInARow = 0;
-    bool LastSucceeded = false; ///< Its last question was answered.
+    bool LastSucceeded = false;
   };
   struct QueueKey {
     bool Late = false;
@@ -66,7 +68,7 @@
   std::map<std::string, Lane> Lanes;
   std::map<QueueKey, PendingRequest> Queue;
   uint64_t NextNumber = 0;
-  size_t LongInFlight = 0; ///< LongRequestThreshold questions in flight.
+  size_t LongInFlight = 0;
   bool Stopped = false;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
--- a/src/cell/call_losses.cpp
+++ b/src/cell/call_losses.cpp
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-// Counts workers with a fresh loss.
+// Counts the workers with a recent loss.
 #include "cell/call_losses.h"
 
 namespace valveshelf {
 namespace {
-// A loss counts for so long: the time in which a second one comes where one call in twenty is lost
-// and a worker gets three calls a second.
+// Losses older than this are ignored.
 constexpr Milliseconds LossWindow{3000};
-// One worker alone may be gone or slow.
+// A single worker may have failed or be slow.
 constexpr size_t MinWorkers = 2;
 } // namespace
 
--- a/src/cell/call_losses.h
+++ b/src/cell/call_losses.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Whether calls to workers get lost just now, from what was left without an answer.
+// Detects from unanswered calls whether calls to workers are being lost.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -9,16 +9,16 @@
 
 namespace valveshelf {
 
-/// When workers that had answered until then last left a call without an answer. Not thread-safe.
+/// Recent unanswered calls to workers that had answered before. Not thread-safe.
 struct CallLosses {
-  std::map<std::string, TimePoint> Last; ///< By worker.
+  std::map<std::string, TimePoint> Last; ///< Time of the last loss, by worker.
 };
 
-/// \p Worker, which answered the call before, has not answered one.
+/// Records that \p Worker, which had answered its previous call, did not answer one.
 void noteLoss(CallLosses &Losses, const std::string &Worker, TimePoint Now);
 
-/// True if several workers lately left a call without an answer: then it is calls that get lost,
-/// rather than one worker that is gone. Forgets what is old.
+/// True if several workers recently left a call unanswered, which indicates lost calls rather than
+/// one failed worker. Removes old entries.
 bool areCallsBeingLost(CallLosses &Losses, TimePoint Now);
 
 } // namespace valveshelf
--- a/src/cell/list_age.cpp
+++ b/src/cell/list_age.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-// The age of the list of workers, and what follows from it.
+// Staleness checks of the list of workers.
 #include "cell/list_age.h"
 
 #include <algorithm>
 
 namespace valveshelf {
 namespace {
-// Beyond the longest hold of a watch: its way back, and the pause in which changes are gathered.
+// Added to the longest wait of a watch: network delay and the pause between two watches.
 constexpr Milliseconds RefreshSlack{500};
 constexpr Milliseconds RefreshPause{250};
-// Operators allow starts on a worker for three seconds or more after it has said that it leaves.
+// Bounds how long runs may still be started on a worker after it began to drain.
 constexpr Milliseconds MaxAge{3000};
 } // namespace
 
--- a/src/cell/list_age.h
+++ b/src/cell/list_age.h
@@ -1,29 +1,29 @@
 // SPDX-License-Identifier: Apache-2.0
-// How old what the scheduler knows of the platform's list of workers is. The load that it answers:
-// so many workers change at a time, or answers of the store are so late or lost, that the watch
-// falls behind, and a worker that has said it leaves would still be given work.
+// Age of the scheduler's copy of the platform's list of workers. Detects that the watch has fallen
+// behind, because of many changes or late or lost answers; a stale list may show draining workers
+// as ready, and they would be given work.
 #pragma once
 
 #include "valveshelf/clock.h"
 
 namespace valveshelf {
 
-/// Plain data; one thread at a time.
+/// State of the staleness checks. Not thread-safe.
 struct ListAge {
-  TimePoint CompleteUntil{}; ///< All that had changed by then is known.
-  TimePoint NextRefresh{};   ///< Not before this time is the store asked beside the watch.
+  TimePoint CompleteUntil{}; ///< All changes before this time are known.
+  TimePoint NextRefresh{};   ///< Earliest time of the next refresh besides the watch.
   bool IsStale = false;
 };
 
-/// A call for changes was answered with all there were. One that was held to its end and brought
-/// none says that there was none until then; any other says what had changed when it was made. An
-/// answer that may have been cut short says neither, and is not noted.
+/// Records a complete answer to a watch or read that was sent at \p SentAt. Pass the watch's wait
+/// time as \p HeldFor if it ended without changes, which proves that there were none until then;
+/// otherwise 0. Don't call for answers that may be truncated.
 void noteListAnswer(ListAge &Age, TimePoint SentAt, Milliseconds HeldFor);
-/// True if the store is to be asked at once what has changed: the watch has been silent for longer
-/// than it is ever held. Asked again after a pause, since that answer may be lost as well.
+/// True if a refresh is due: the watch has been silent for longer than its longest wait, and no
+/// refresh was requested recently. Schedules the next refresh, in case this one's answer is lost.
 bool needsListRefresh(ListAge &Age, Milliseconds WatchTime, TimePoint Now);
-/// True from when the list is so old that nothing may be started by it. Where the store answers
-/// nobody, what is known goes on to hold: \p IsStoreResponsive says that it does answer.
+/// True if the list is too old to start runs by it. While the store is down (\p IsStoreResponsive
+/// is false) the known list remains in use.
 bool isListStale(const ListAge &Age, bool IsStoreResponsive, TimePoint Now);
 
 } // namespace valveshelf
--- a/src/cell/suspicion.cpp
+++ b/src/cell/suspicion.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-// The bar for taking a silent scheduler for gone, which rises with each change.
+// The probe timeout grows with each recent leader change.
 #include "cell/suspicion.h"
 
 #include <algorithm>
 
 namespace valveshelf {
 namespace {
-// A process that does not take a connection by then is dead or cut off; connecting takes 2 ms.
+// For accepting a connection, when there was no recent change.
 constexpr Milliseconds BaseProbeTimeout{150};
 constexpr int ProbeTimeoutGrowth = 3;
-// Changes older than this say nothing of the links now; twice the longest that a store stays away.
+// Older changes are ignored.
 constexpr Milliseconds ChangeWindow{20000};
 } // namespace
 
