--- a/src/cell/adaptive_timeout_test.cpp
+++ b/src/cell/adaptive_timeout_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The time that orders wait for their answers, on calm and on full links.
+// The timeout must grow on a saturated link, but not because of a few failed workers.
 #include "cell/adaptive_timeout.h"
 
 #include <gtest/gtest.h>
@@ -27,20 +27,19 @@
   note(CallTimeout, 320, 4);
   EXPECT_EQ(CallTimeout.Current, 1000ms);
   note(CallTimeout, 320, 0);
-  EXPECT_EQ(CallTimeout.Current, 1000ms); // not at once
+  EXPECT_EQ(CallTimeout.Current, 1000ms); // lowered only after several windows
   note(CallTimeout, 2000, 0);
   EXPECT_EQ(CallTimeout.Current, 150ms);
 }
 
-// Waves of 60 orders of 700 bytes each 300 ms, through a link of 250 kB/s; an order without an
-// answer in time is followed by a stop, a look and the same order again. Returns the orders given
-// up.
+// Simulates bursts of 60 calls of 700 bytes every 300 ms over a link of 250 kB/s. A call that times
+// out adds a stop, a heartbeat and a retry in the next burst. Returns the number of timeouts.
 int countTimeouts(bool Adapts) {
   constexpr double BytesPerMs = 250;
   constexpr double CallBytes = 700;
   constexpr double FollowUpBytes = 1200;
   AdaptiveTimeout CallTimeout;
-  double FreeAt = 0; // when the link has sent what waits for it
+  double FreeAt = 0; // when the link has sent all queued bytes
   int Timeouts = 0;
   int Again = 0;
   for (double Now = 0; Now < 20000; Now += 300) {
--- a/src/cell/call_losses_test.cpp
+++ b/src/cell/call_losses_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// When calls count as lost in general.
+// Guards against taking one failed worker for general loss of calls, and against outdated losses.
 #include "cell/call_losses.h"
 
 #include <gtest/gtest.h>
--- a/src/cell/compacted_history_test.cpp
+++ b/src/cell/compacted_history_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// A store that forgets its history early: whoever watches reads what stands and goes on from there,
-// also what has gone meanwhile.
+// Watches whose start revision was compacted by the store must read the current state again and
+// notice removed keys.
 #include "cell/cell_view.h"
 #include "cell/config_watch.h"
 #include "cell/member_list.h"
@@ -27,7 +27,7 @@
     Io.restart();
     Io.run_for(Time);
   }
-  // Changes are made while no watch hears of them, and their history is gone.
+  // Makes changes that no watch delivers and whose history is compacted.
   template <class Change> void changeUnobserved(Change Make) {
     Store.Down = true;
     play(100ms);
--- a/src/cell/scheduler_runner_test.cpp
+++ b/src/cell/scheduler_runner_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The process around the decisions, against a store and workers in memory: calls that get lost,
-// saves that overlap, records of workers that are gone.
+// One term of the scheduler against an in-memory store and workers: lost calls, overlapping saves,
+// obsolete worker records and a stale list of workers.
 #include "cell/scheduler_runner.h"
 
 #include "fakes/fake_key_value_store.h"
@@ -16,13 +16,13 @@
 constexpr std::string_view WorkerPrefix = "servers/";
 constexpr std::string_view EvacuationPrefix = "op/evacuate/";
 
-/// A worker whose runs end when the test says so.
+/// A worker whose runs end when the test calls `end`.
 struct FakeWorker {
   std::vector<ActiveRun> Active;
   std::vector<EndedRun> Ended;
-  int StartsToLose = 0;        ///< Answers of so many starts are lost; they are carried out.
-  bool LosesLongPolls = false; ///< Calls that are held get no answer.
-  bool IsReplaced = false;     ///< Another life answers at its address.
+  int StartsToLose = 0;        ///< Number of starts that are carried out without an answer.
+  bool LosesLongPolls = false; ///< Long polls get no answer.
+  bool IsReplaced = false;     ///< Another instance answers at its address.
 
   void end(uint32_t Index) {
     for (size_t I = 0; I < Active.size(); ++I)
@@ -37,19 +37,19 @@
 struct Bench {
   boost::asio::io_context Io;
   fakes::FakeKeyValueStore Store{Io};
-  Milliseconds CommitTime{0};       ///< From a commit's call to its effect.
-  std::vector<Transaction> Commits; ///< All commits.
+  Milliseconds CommitTime{0}; ///< Delay before a commit takes effect.
+  std::vector<Transaction> Commits;
   std::map<std::string, FakeWorker> Workers;
   CellSettings Settings;
   CellMetrics Metrics;
   BurnBook Burn;
   std::shared_ptr<SchedulerRunner> Runner;
-  Steady::duration Suspended{0}; ///< Time that the clock of leases has counted and no timer has.
-  bool HasEnded = false;         ///< The term, by itself.
+  Steady::duration Suspended{0}; ///< Added to the clock, but not to timers.
+  bool HasEnded = false;         ///< The term ended without a call to `stop`.
   Resources Capacity{64000, 64000, 0};
-  Milliseconds RangeTime{0};   ///< Of each answer with all under a prefix.
-  Milliseconds ListDelay{0};   ///< Of each answer to a call for changes of the list of workers.
-  bool LosesListWatch = false; ///< Such calls that are held get no answer.
+  Milliseconds RangeTime{0};   ///< Delay of each answer to a range read.
+  Milliseconds ListDelay{0};   ///< Delay of each answer to a watch of the list of workers.
+  bool LosesListWatch = false; ///< Watches of that list that wait get no answer.
 
   Bench() {
     Settings.Member = "a";
@@ -146,7 +146,7 @@
   }
 
   void start() {
-    constexpr uint64_t LeaderRevision = 2; // the first key that the constructor wrote
+    constexpr uint64_t LeaderRevision = 2; // of the first key written by the constructor
     SchedulerDependencies Deps{
         Io.get_executor(),
         Clock{[this] { return Steady::now() + Suspended; }, Clock{}.Wall},
@@ -158,7 +158,7 @@
         std::string(EvacuationPrefix),
         [this](std::string_view Id, std::string_view Bytes) -> Result<WorkerInfo> {
           if (Bytes != "listed")
-            return Error{ErrorKind::BadRequest, "it can't be read"};
+            return Error{ErrorKind::BadRequest, "malformed entry"};
           WorkerInfo Info;
           Info.Id = Id;
           Info.Service = "pool";
@@ -195,7 +195,7 @@
   }
 };
 
-// The ends on a worker whose held call was lost are seen long before that call is given up.
+// Runs that ended on a worker whose long poll was lost are seen long before that call times out.
 TEST(SchedulerRunner, SendsHeartbeatsToBusyWorkersWhileCallsAreLost) {
   Bench Given;
   for (auto &[Id, On] : Given.Workers) {
@@ -205,7 +205,7 @@
   Given.submit(1, 20);
   Given.start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.running() == 20; }));
-  // Tasks of priority 0 are spread, so both workers have lost an answer.
+  // Tasks of priority 0 are spread over the workers, so both have lost an answer.
   for (auto &[Id, On] : Given.Workers) {
     ASSERT_FALSE(On.Active.empty());
     while (!On.Active.empty())
@@ -220,7 +220,7 @@
   Given.start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.running() == 2; }));
   Given.CommitTime = 700ms;
-  // Of two workers, so that both ends are seen at once.
+  // One run on each worker, so that neither end delays the other.
   ASSERT_EQ(Given.Workers.at("w0").Active.size(), 1u);
   const auto Saves = [&] {
     return std::count_if(Given.Commits.begin(), Given.Commits.end(), [](const Transaction &What) {
@@ -237,7 +237,8 @@
   EXPECT_TRUE(Given.runUntil([&] { return Given.Store.value(progressKey(1)).empty(); }));
 }
 
-// A removal that is carried out late must not take the record of a worker that is in use again.
+// A removal that the store applies late must not remove the record of a worker that is in use
+// again.
 TEST(SchedulerRunner, RemovesWorkerRecordOnlyAtKnownRevision) {
   Bench Given;
   WorkerInfo Gone;
@@ -266,8 +267,8 @@
   EXPECT_FALSE(Given.Store.value(workerKey("strange")).empty());
 }
 
-// Its machine was suspended for longer than its claim holds: another scheduler may have begun. It
-// says nothing more to a worker.
+// After a suspension longer than the leader lease another process may be the scheduler, so nothing
+// more may be sent to workers.
 TEST(SchedulerRunner, EndsTermAfterSuspension) {
   Bench Given;
   Given.start();
@@ -280,7 +281,7 @@
   EXPECT_EQ(Given.running(), 4u);
 }
 
-// An entry that another writer has put there names no worker to use; the others hold.
+// A malformed entry of another writer must not become a worker, nor affect the other entries.
 TEST(SchedulerRunner, IgnoresMalformedWorkerEntries) {
   Bench Given;
   Given.Store.put(std::string(WorkerPrefix) + "w2", "\xff{", 0);
@@ -288,21 +289,20 @@
   ASSERT_TRUE(Given.runUntil([&] { return Given.Runner->loaded(); }));
   Given.submit(1, 4);
   ASSERT_TRUE(Given.runUntil([&] { return Given.running() == 4; }));
-  Given.Store.put(std::string(WorkerPrefix) + "w1", "{}", 0); // over that of a worker
-  Given.runUntil([] { return false; }, 600ms);                // the list is watched
+  Given.Store.put(std::string(WorkerPrefix) + "w1", "{}", 0); // overwrites a worker's entry
+  Given.runUntil([] { return false; }, 600ms);                // until the watch delivers it
   const size_t Before = Given.Workers.at("w1").Active.size();
   Given.submit(2, 8);
   EXPECT_TRUE(Given.runUntil([&] { return Given.running() == 12; }));
   EXPECT_EQ(Given.Workers.at("w1").Active.size(), Before);
-  // It is the worker's own again.
+  // The worker writes its entry again.
   Given.Store.put(std::string(WorkerPrefix) + "w1", "listed", 0);
   Given.runUntil([] { return false; }, 600ms);
   Given.submit(3, 8);
   EXPECT_TRUE(Given.runUntil([&] { return Given.Workers.at("w1").Active.size() > Before; }));
 }
 
-// What a worker says of its capacity is heard although the watch is silent: it is answered, and
-// nothing is in it.
+// A reduced capacity must be noticed even if the store's watch answers omit the change.
 TEST(SchedulerRunner, NoticesReducedCapacityDespiteSilentWatch) {
   Bench Given;
   Given.Settings.Timing.WatchTime = 300ms;
@@ -320,7 +320,7 @@
   EXPECT_EQ(Given.running(), 2u);
 }
 
-// A watch whose answers come seconds late: by it a worker that has said it leaves would get work.
+// Late watch answers make the list stale; runs could be started on draining workers.
 TEST(SchedulerRunner, StartsNothingWhileWorkerListIsStale) {
   Bench Given;
   Given.start();
@@ -335,7 +335,7 @@
   EXPECT_TRUE(Given.runUntil([&] { return Given.running() == 4; }));
 }
 
-// Without a store nobody hears of leaving workers, and work goes on by what is known.
+// During a store outage the list can't be refreshed, and runs are still started by the known list.
 TEST(SchedulerRunner, KeepsStartingRunsDuringStoreOutage) {
   Bench Given;
   Given.submit(1, 4);
@@ -359,14 +359,14 @@
   Given.LosesListWatch = true;
   Given.start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.Runner->loaded(); }));
-  Given.Store.put(std::string(WorkerPrefix) + "w1", "{}", 0); // names no worker any more
+  Given.Store.put(std::string(WorkerPrefix) + "w1", "{}", 0); // malformed: no longer a worker
   Given.runUntil([] { return false; }, 2300ms);
   Given.submit(1, 8);
   ASSERT_TRUE(Given.runUntil([&] { return Given.running() == 8; }, 1s));
   EXPECT_EQ(Given.Workers.at("w1").Active.size(), 0u);
 }
 
-// Nothing is started before all of the store is read; a slow one is not asked four times in line.
+// Loading must read all prefixes in parallel: serial reads would delay a takeover on a slow store.
 TEST(SchedulerRunner, LoadsAllPrefixesInParallel) {
   Bench Given;
   Given.RangeTime = 300ms;
@@ -374,29 +374,28 @@
   EXPECT_TRUE(Given.runUntil([&] { return Given.Runner->loaded(); }, 550ms));
 }
 
-// The zones that operators want empty are known before anything is started.
+// Zones to evacuate must be known before the first run is started.
 TEST(SchedulerRunner, LoadsEvacuatedZonesBeforeStartingRuns) {
   Bench Given;
   Given.Store.put(std::string(EvacuationPrefix) + "north", "{}", 0);
   Given.submit(1, 4);
   Given.start();
   Given.runUntil([] { return false; }, 300ms);
-  EXPECT_EQ(Given.running(), 0u) << "all workers stand there";
+  EXPECT_EQ(Given.running(), 0u) << "all workers are in the evacuated zone";
   Given.Runner->setEvacuatedZones({{}, 1000000});
   EXPECT_TRUE(Given.runUntil([&] { return Given.running() == 4; }));
 }
 
-// Workers of a whole fleet check in, each a change of the list, and the store tells 500 changes at
-// a time. On a trial of 1,002 boxes a worker that had said at 1.007 s that it leaves was given work
-// at 6.189 s; the first such word was logged at 16.4 s (VS-2403), and nothing looked late.
+// Each check-in of a large cell's workers is a change of the list, and the store returns at most
+// 500 per answer. A pause after each answer would delay the detection of draining workers.
 TEST(SchedulerRunner, KeepsUpWithCheckInsOfLargeCell) {
   Bench Given;
   Given.start();
   ASSERT_TRUE(Given.runUntil([&] { return Given.Runner->loaded(); }));
   for (int I = 0; I < 5000; ++I)
     Given.Store.put(std::string(WorkerPrefix) + "w0", "listed", 0);
-  Given.Store.put(std::string(WorkerPrefix) + "w1", "{}", 0); // names no worker any more
-  Given.runUntil([] { return false; }, 700ms); // ten answers; with a pause after each, 2.5 s
+  Given.Store.put(std::string(WorkerPrefix) + "w1", "{}", 0); // malformed: no longer a worker
+  Given.runUntil([] { return false; }, 700ms); // ten answers; a pause after each would take 2.5 s
   Given.submit(1, 8);
   ASSERT_TRUE(Given.runUntil([&] { return Given.running() == 8; }, 2s));
   EXPECT_EQ(Given.Workers.at("w1").Active.size(), 0u);
--- a/src/cell/suspicion_test.cpp
+++ b/src/cell/suspicion_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The bar for taking a silent scheduler for gone.
+// The probe timeout must grow with repeated leader changes, which would otherwise not settle.
 #include "cell/suspicion.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
   const TimePoint Begun = TimePoint{} + 1000s;
   TermHistory History;
   noteTerm(History, 7, Begun);
-  EXPECT_EQ(probeTimeout(History, 1500ms, Begun), 150ms); // the first term seen is no change
+  EXPECT_EQ(probeTimeout(History, 1500ms, Begun), 150ms); // the first term observed is not a change
   noteTerm(History, 7, Begun + 1s);
   EXPECT_EQ(probeTimeout(History, 1500ms, Begun + 1s), 150ms);
   noteTerm(History, 8, Begun + 2s);
