--- a/src/include/valveshelf/cell_link.h
+++ b/src/include/valveshelf/cell_link.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Between the entry processes of a cell: calls to peers and the server for theirs.
+// RPC between the entry processes of a cell: a client for calls to peers, and the server that
+// answers them.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -13,14 +14,14 @@
 
 namespace valveshelf {
 
-/// What a probe of an address showed.
+/// Result of probing the address of a process.
 enum class ProbeResult {
   Listening,
-  Refused,  ///< The machine answers, and no process listens there.
-  NoAnswer, ///< No answer in time: gone, cut off, or behind a link that is full.
+  Refused,  ///< The box answers, but no process listens at the address.
+  NoAnswer, ///< No connection in time: box down, unreachable, or behind a saturated link.
 };
 
-/// What this process answers to its peers; one function a method of the inner protocol.
+/// Handlers for the requests of peers, one for each method of the internal protocol.
 struct CellHandlers {
   std::function<Awaitable<cell::AdviseReply>(cell::AdviseRequest)> Advise;
   std::function<Awaitable<cell::JobStateReply>(cell::JobStateRequest)> JobState;
@@ -32,8 +33,9 @@
   std::function<Awaitable<cell::ConfigurationReply>(cell::ConfigurationRequest)> Configuration;
 };
 
-/// Calls to peers, over connections that are kept. UpstreamUnavailable: the peer was surely not
-/// reached. UpstreamCut: it may have acted. Safe from any thread.
+/// Client for calls to peers, over persistent connections. Errors: UpstreamUnavailable if the peer
+/// was certainly not reached, UpstreamCut if it may have acted on the request. Safe from any
+/// thread.
 struct CellLink {
   template <class Request, class Reply>
   using Call =
@@ -46,13 +48,14 @@
   Call<cell::StoreCallRequest, cell::StoreCallReply> StoreCall;
   Call<cell::CandidateRequest, cell::CandidateReply> Candidate;
   Call<cell::ConfigurationRequest, cell::ConfigurationReply> Configuration;
-  /// Whether a process listens there; a frozen one still does, a dead or cut off one does not.
+  /// Probes whether a process accepts connections at an address. A suspended process still does;
+  /// one that has exited or is unreachable doesn't.
   std::function<Awaitable<ProbeResult>(Endpoint To, Milliseconds Timeout)> Probe;
 };
-/// \p Client outlives the link.
+/// Creates a link over HTTP. \p Client must outlive it.
 CellLink makeHttpCellLink(HttpClient &Client);
 
-/// The server for peers. Handlers run on \p Where.
+/// Server for the calls of peers. Handlers run on the strand \p Where.
 class CellServer {
 public:
   CellServer(Executor Where, Endpoint Address, HttpServerLimits Limits, CellHandlers Handlers);
--- a/src/include/valveshelf/cell_metrics.h
+++ b/src/include/valveshelf/cell_metrics.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Counters and latency histograms of an entry process of a cell. docs/METRICS.md lists them and is
-// checked against `allMetrics` by a test.
+// Metrics of an entry process of a cell. docs/METRICS.md lists them; a test checks it against
+// `allMetrics`.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -13,7 +13,7 @@
 
 namespace valveshelf {
 
-/// A metric's name without the common prefix, its type and its meaning.
+/// Description of a metric. `Name` lacks the common prefix.
 struct MetricDescriptor {
   std::string_view Name;
   std::string_view Type; ///< "counter", "gauge" or "histogram".
@@ -27,10 +27,10 @@
     LogLinesLeftOut, Ready;
 } // namespace metrics
 
-/// All metrics, for the catalogue.
+/// All metrics, in the order of docs/METRICS.md.
 std::span<const MetricDescriptor *const> allMetrics();
 
-/// Holds the figures. Safe from any thread.
+/// The values of all metrics. Safe from any thread.
 class CellMetrics {
 public:
   CellMetrics();
@@ -38,13 +38,14 @@
   CellMetrics(const CellMetrics &) = delete;
   CellMetrics &operator=(const CellMetrics &) = delete;
 
-  /// Adds one to a counter. \p Label tells cases apart; empty: none.
+  /// Increments a counter. \p Label is the value of its label `case`; if empty, the label is
+  /// absent.
   void count(const MetricDescriptor &Metric, const std::string &Label = "");
   void observe(const MetricDescriptor &Metric, Steady::duration Time);
   void set(const MetricDescriptor &Metric, double Value);
-  /// Brings the counters of messages up to the book.
+  /// Raises the counters of messages and connections to the totals in \p Traffic.
   void setTraffic(const TrafficStats &Traffic);
-  /// The text that is served.
+  /// All metrics in the Prometheus text format.
   std::string text() const;
 
 private:
--- a/src/include/valveshelf/cell_process.h
+++ b/src/include/valveshelf/cell_process.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// One entry process of a cell on the users' platform, whole: servers for callers, readiness,
-// metrics and peers around the intake, the configuration and, while it holds the claim, the
-// scheduler.
+// An entry process of a cell: HTTP servers for callers, readiness probes, metrics and peers, around
+// job intake, configuration and, while this process is the leader, the scheduler. Run by
+// `valveshelf serve`.
 #pragma once
 
 #include "valveshelf/cell_link.h"
@@ -20,14 +20,14 @@
 
 namespace valveshelf {
 
-/// The platform as a cell process needs it.
+/// Access to the services of the platform, and the codecs for its formats.
 struct CellPlatform {
-  StoreRouter::DirectCall CallStore; ///< Straight to the store.
-  HttpRequest StoreProbe;            ///< A harmless read.
+  StoreRouter::DirectCall CallStore; ///< Sends a request directly to the store.
+  HttpRequest StoreProbe;            ///< Read-only; shows whether the store serves this process.
   std::function<KeyValueStore(StoreTransport)> OpenStore;
   WorkerLink Workers;
   AdviceLink Advice;
-  std::string CallerKeyHeader; ///< The header field with a caller's key.
+  std::string CallerKeyHeader; ///< Header field that carries a caller's key.
   OperatorKeys Operators;
   std::string WorkerPrefix;
   std::function<Result<sched::CellConfiguration>(std::string_view)> DecodeConfiguration;
@@ -40,16 +40,17 @@
 /// Runs on the strand \p Where.
 class CellProcess {
 public:
-  /// \p Meter has counted what the links send, and outlives the process.
+  /// \p Meter counts the traffic of \p Platform and \p Peers. It must outlive this object.
   CellProcess(Executor Where, CellSettings Settings, Clock Time, CellPlatform Platform,
               CellLink Peers, const TrafficMeter &Meter);
   ~CellProcess();
   CellProcess(const CellProcess &) = delete;
   CellProcess &operator=(const CellProcess &) = delete;
 
-  /// Binds all addresses and begins. Returns once the listeners serve.
+  /// Binds all addresses and starts the process. On success all servers accept connections.
   Result<Done> start();
-  /// Runs the planned stop, then calls \p Finished with the exit code.
+  /// Starts a graceful shutdown and calls \p Finished with the exit code when it is complete. Safe
+  /// from any thread.
   void beginStop(std::function<void(int)> Finished);
 
 private:
--- a/src/include/valveshelf/cell_settings.h
+++ b/src/include/valveshelf/cell_settings.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Settings of `valveshelf serve`: one entry process of a cell on the users' platform.
+// Settings of `valveshelf serve`, which runs an entry process of a cell.
 #pragma once
 
 #include "valveshelf/cell_state.h"
@@ -7,44 +7,44 @@
 
 namespace valveshelf {
 
-/// Times of the process itself. Defaults come from the runs named in docs/design/platform.md.
+/// Timeouts, leases and intervals.
 struct CellTiming {
-  Milliseconds WatchTime{1500};    ///< Longest wait of one watch; bounds how long a dead
+  Milliseconds WatchTime{1500};    ///< Maximum duration of one watch call; bounds how long a dead
                                    ///< connection goes unnoticed.
-  Milliseconds LeaderLease{1500};  ///< Life of the scheduler's key without renewal.
-  Milliseconds MemberLease{4000};  ///< Life of a member's key without renewal.
-  Milliseconds WorkerTimeout{150}; ///< For one order to a worker on a calm link; it is sent
-                                   ///< again then.
-  Milliseconds HoldWait{1800};     ///< A worker's report is awaited so long.
-  Milliseconds HoldTimeout{400};   ///< Beyond that wait; a replaced scheduler goes on for at most
-                                   ///< LeaderLease / 4 without knowing, and this is longer.
-  Milliseconds WorkerLease{5000};  ///< A worker runs on so long without word of us.
-  Milliseconds SaveDelay{20};      ///< Ends are gathered so long before they are saved.
-  Milliseconds SubmitTimeout{800}; ///< A submission is decided by then.
+  Milliseconds LeaderLease{1500};  ///< Lifetime of the leader key without renewal.
+  Milliseconds MemberLease{4000};  ///< Lifetime of a member key without renewal.
+  Milliseconds WorkerTimeout{150}; ///< Of a call to a worker over an unloaded link; then retried.
+  Milliseconds HoldWait{1800};     ///< Maximum duration of a long poll for a worker's report.
+  Milliseconds HoldTimeout{400};   ///< Added to HoldWait. Must exceed LeaderLease / 4, for which a
+                                   ///< replaced scheduler may go on unaware.
+  Milliseconds WorkerLease{5000};  ///< Tasks keep running for this long without a scheduler.
+  Milliseconds SaveDelay{20};      ///< How long changes are collected before they are saved.
+  Milliseconds SubmitTimeout{800}; ///< A submission is accepted or refused within this time.
   Milliseconds StopGrace{6000};    ///< From SIGTERM to SIGKILL.
-  /// Callers' keys are refused when the configuration was not confirmed for so long; empty: a
-  /// process that hears neither the store nor its peers goes on with the keys that it knows.
+  /// Callers' keys are refused once the configuration has not been confirmed for this long. If
+  /// empty, a process that reaches neither the store nor a peer keeps accepting the keys that it
+  /// knows.
   std::optional<Milliseconds> UnconfirmedKeysTime;
 };
 
-/// Everything in the file.
+/// The content of a settings file.
 struct CellSettings {
-  std::string Member; ///< Name of this process, unique in the cell.
-  std::string Zone;   ///< Availability zone.
-  Endpoint Callers, Readiness, Peers, Metrics;
-  Endpoint Store, Advice;
+  std::string Member;                          ///< Name of this process, unique in the cell.
+  std::string Zone;                            ///< Availability zone.
+  Endpoint Callers, Readiness, Peers, Metrics; ///< Addresses to listen on.
+  Endpoint Store, Advice;                      ///< Of the platform; Advice only if HasAdvice.
   bool HasAdvice = false;
   std::string LogLevel;
-  int LogLinesPerSecond = 40; ///< Of one kind of event; 0: no limit.
+  int LogLinesPerSecond = 40; ///< For each kind of event; 0: no limit.
   unsigned Threads = 1;
-  double Power = 1;             ///< Cores that the process may use.
-  size_t MaxDescriptors = 4096; ///< That the process may have open.
+  double Power = 1;             ///< CPU cores that the process may use.
+  size_t MaxDescriptors = 4096; ///< File descriptors that the process may have open.
   CellTiming Timing;
   IntakeLimits Limits;
   sched::SchedulerLimits Scheduler;
 };
 
-/// Parses and checks a file; \p File is used in errors only.
+/// Parses and validates a settings file. \p File is its name, for error messages.
 std::variant<CellSettings, SettingsErrors> parseCellSettings(std::string_view Text,
                                                              const std::string &File);
 
--- a/src/include/valveshelf/peer_link.h
+++ b/src/include/valveshelf/peer_link.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// gRPC between entry processes: calls to peers and the server for theirs.
+// gRPC between entry processes: a client for calls to peers, and the server that answers them.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -14,7 +14,7 @@
 
 namespace valveshelf {
 
-/// What this process answers to its peers; one function a method of the inner protocol.
+/// Handlers for the requests of peers, one for each method of the internal protocol.
 struct PeerHandlers {
   std::function<Awaitable<wire::ExchangeReply>(wire::ExchangeRequest)> Exchange;
   std::function<Awaitable<wire::PromiseReply>(wire::PromiseRequest)> Promise;
@@ -28,8 +28,9 @@
   std::function<Awaitable<wire::ConfigReply>(wire::ConfigRequest)> Config;
 };
 
-/// Calls to peers, with one kept channel an address. UpstreamUnavailable: the peer was surely
-/// not reached. UpstreamCut: it may have acted. Safe from any thread.
+/// Client for calls to peers, with one persistent channel for each address. Errors:
+/// UpstreamUnavailable if the peer was certainly not reached, UpstreamCut if it may have acted on
+/// the request. Safe from any thread.
 struct PeerOps {
   std::function<Awaitable<Result<wire::ExchangeReply>>(Endpoint, wire::ExchangeRequest)> Exchange;
   std::function<Awaitable<Result<wire::PromiseReply>>(Endpoint, wire::PromiseRequest)> Promise;
@@ -41,16 +42,17 @@
   std::function<Awaitable<Result<wire::CancelReply>>(Endpoint, wire::CancelRequest)> Cancel;
   std::function<Awaitable<Result<wire::HoldReply>>(Endpoint, wire::HoldRequest)> Hold;
   std::function<Awaitable<Result<wire::ConfigReply>>(Endpoint, wire::ConfigRequest)> Config;
-  /// Whether a process listens at the address. A frozen one still does.
+  /// Whether a process accepts connections at an address. A suspended process still does.
   enum class ProbeResult { Listening, Refused, NoAnswer };
   std::function<Awaitable<ProbeResult>(Endpoint)> Probe;
 };
 
-/// Peers over gRPC. \p Timeout bounds each call; a Forward carries its own deadline.
+/// Creates a client over gRPC. \p Timeout bounds each call except Forward, which carries its own
+/// deadline.
 PeerOps makeGrpcPeerOps(Executor Where, Milliseconds Timeout);
 
-/// The server for peers. Listens from `start` until it is destroyed; the last thing that a
-/// process closes, so that a refused connection proves that the process is gone.
+/// Server for the calls of peers. Listens from `start` until it is destroyed. A process must close
+/// it last: peers take a refused connection as proof that the process has exited.
 class PeerServer {
 public:
   PeerServer(Executor Where, Endpoint Address, PeerHandlers Handlers);
