--- a/src/include/valveshelf/cell_config.h
+++ b/src/include/valveshelf/cell_config.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // The operators' configuration of the cell: services, routes, quotas, placement weights and
-// objectives. Each partner writes its own part; the parts together carry one version.
+// objectives. Each partner writes its own part; all parts share one version.
 #pragma once
 
 #include "valveshelf/job.h"
@@ -20,33 +20,33 @@
 /// A service that requests can be sent to.
 struct ServiceConfig {
   std::string Name;
-  Selector Instances; ///< Which upstream boxes serve it.
-  int Slots = 8;      ///< Requests at once, for each instance.
+  Selector Instances; ///< Upstream boxes that serve it.
+  int Slots = 8;      ///< Concurrent requests to each instance.
   int Connections = 64;
 };
 
-/// How requests under a path prefix are treated.
+/// Routing of the requests under a path prefix.
 struct RouteConfig {
   std::string Prefix;
   std::string Service;
   Selector Callers; ///< Labels the caller must have sent.
   JobClass Class = JobClass::Quick;
-  bool Repeatable = false; ///< True if a request may be sent again after a byte was sent.
+  bool Repeatable = false; ///< True if a request may be retried after part of it was sent.
   Milliseconds Deadline{2000};
 };
 
-/// What a team may hold at once.
+/// Limit on the resources that a team or partner may hold at a time.
 struct QuotaConfig {
   Resources Limit{INT64_MAX, INT64_MAX, INT64_MAX};
 };
 
-/// How a partner weighs waiting against packing, each from 0 to 1.
+/// Weights of a partner for spreading work over boxes and for packing it densely, each from 0 to 1.
 struct PlacementConfig {
   double Spread = 0.5;
   double Pack = 0.5;
 };
 
-/// An objective for the report on service-level burn.
+/// A service-level objective for the burn report.
 struct ObjectiveConfig {
   std::string Name;
   JobClass Class = JobClass::Quick;
@@ -54,54 +54,55 @@
   double Target = 0.99;
 };
 
-/// Steering: workloads that match also have to meet the box selector, or are held back.
+/// Placement rule: workloads that match may only run on boxes that match or, with `Hold`, are not
+/// placed.
 struct SteerConfig {
   Selector Workloads;
   Selector Boxes;
   bool Hold = false;
 };
 
-/// One partner's part.
+/// The configuration of one partner.
 struct PartnerConfig {
   std::vector<ServiceConfig> Services;
   std::vector<RouteConfig> Routes;
   std::map<std::string, QuotaConfig> TeamQuotas;
-  QuotaConfig Total; ///< For the partner as a whole.
+  QuotaConfig Total; ///< For all teams of the partner together.
   PlacementConfig Placement;
   std::vector<ObjectiveConfig> Objectives;
   std::vector<SteerConfig> Steering;
 };
 
-/// A partner's part as it was applied.
+/// A partner's part as stored.
 struct ConfigPart {
   std::string Text;     ///< The TOML as written.
-  uint64_t Version = 0; ///< Version of the whole that brought this text.
-  std::string ChangeId; ///< Id of the change, by which a lost answer is resolved.
+  uint64_t Version = 0; ///< Version of the configuration that introduced this text.
+  std::string ChangeId; ///< `ConfigChange::Id`, for `ConfigKeeper::resolve`.
 };
 
-/// The whole configuration. The version only ever grows.
+/// The configuration of all partners. Its version only increases.
 struct CellConfig {
   uint64_t Version = 0;
   std::map<std::string, ConfigPart> Parts; ///< By partner.
   std::map<std::string, PartnerConfig> Partners;
 };
 
-/// The configuration in force, for readers.
+/// Returns the configuration in force.
 using ConfigSource = std::function<std::shared_ptr<const CellConfig>()>;
 
-/// Parses and checks one partner's part.
+/// Parses and validates one partner's part. \p File is its name, for error messages.
 std::variant<PartnerConfig, SettingsErrors> parsePartnerConfig(std::string_view Text,
                                                                const std::string &File);
 
-/// The form kept in the store: the version and every partner's text, as JSON.
+/// Encodes the version and every partner's text as JSON, the format kept in the store.
 std::string encodeCellConfig(const CellConfig &Config);
-/// Reads that form. Returns BadSettings if it can't.
+/// Decodes that format. Returns BadSettings if \p Text is malformed.
 Result<CellConfig> decodeCellConfig(std::string_view Text);
 
 /// The quota of \p Team at \p Partner; unlimited if none is configured.
 QuotaConfig teamQuota(const CellConfig &Config, const std::string &Partner,
                       const std::string &Team);
-/// The placement weights of \p Partner.
+/// The weights of \p Partner; the defaults if it has no configuration.
 PlacementConfig placementWeights(const CellConfig &Config, const std::string &Partner);
 
 } // namespace valveshelf
--- a/src/include/valveshelf/config_keeper.h
+++ b/src/include/valveshelf/config_keeper.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The operators' configuration in force here: taken from the store or from peers, never an
-// older version than before, and changed by compare-and-swap.
+// Holds the operators' configuration in force in this process. It comes from the store or from
+// peers, is never replaced by an older version, and is changed by compare-and-swap.
 #pragma once
 
 #include "valveshelf/cell_config.h"
@@ -12,12 +12,12 @@
 
 namespace valveshelf {
 
-/// A change that an operator asks for.
+/// A change requested by an operator.
 struct ConfigChange {
   std::string Partner;
   std::string Text;         ///< TOML of the partner's part.
-  uint64_t BaseVersion = 0; ///< Version of the part that the operator started from.
-  std::string Id;           ///< Names the change, so that a lost answer can be resolved.
+  uint64_t BaseVersion = 0; ///< Version of the part that the change is based on.
+  std::string Id;           ///< For `resolve` after a lost response.
 };
 
 /// Safe from any thread.
@@ -26,15 +26,16 @@
   ConfigKeeper(StoreOps Store, Clock Time, PeerOps Peers, CellWatch &Watch);
 
   std::shared_ptr<const CellConfig> current() const;
-  /// Takes in the stored form if it is newer. \p Peer names where it came from, empty for the
-  /// store.
+  /// Decodes a stored configuration and applies it if it is newer. \p Peer names the peer it came
+  /// from; empty for the store.
   void applyIfNewer(const std::string &Text, const std::string &Peer);
-  /// Asks a peer that has a newer version for it.
+  /// Fetches the configuration of a peer and applies it if it is newer.
   Awaitable<void> fetchFrom(Endpoint Peer);
-  /// Makes the change durable. BadSettings lists every error; Conflict names what won;
-  /// StoreUnavailable means not accepted; OutcomeUnknown: ask by the id.
+  /// Validates the change, makes it durable and returns its version. Errors: BadSettings lists
+  /// every error in the text; Conflict names the version that won; StoreUnavailable: not accepted;
+  /// OutcomeUnknown: call `resolve` to find out.
   Awaitable<Result<uint64_t>> apply(ConfigChange Change);
-  /// The version that change \p Id brought, if it is the last of its partner.
+  /// The version that change \p Id created; NotFound if it is not its partner's latest change.
   Awaitable<Result<uint64_t>> resolve(std::string Partner, std::string Id);
 
 private:
@@ -45,7 +46,7 @@
   const PeerOps Peers;
   CellWatch &Watch;
   mutable std::mutex Mutex;
-  std::shared_ptr<const CellConfig> Current; ///< Guarded by Mutex. Its version only grows.
+  std::shared_ptr<const CellConfig> Current; ///< Guarded by Mutex. Its version only increases.
 };
 
 } // namespace valveshelf
