--- a/src/cell/store_path.cpp
+++ b/src/cell/store_path.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Time outs that follow the store's pace, silence, and the way through peers.
+// Adaptive timeouts, detection of an unresponsive store, and relaying through peers.
 #include "valveshelf/store_path.h"
 
 #include "valveshelf/events.h"
@@ -8,36 +8,38 @@
 
 namespace valveshelf {
 namespace {
-// A plain call is given up after this many typical times, within the two bounds. An answer that is
-// lost costs this time; one that is late costs a call made twice.
+// Timeout of a call that is not a long poll, as a multiple of the average latency and within two
+// bounds. A longer one delays the retry after a lost response, a shorter one repeats calls
+// needlessly.
 constexpr double TimeoutPerLatency = 6;
 constexpr Milliseconds MinTimeout{120};
 constexpr Milliseconds MaxTimeout{1000};
-// Weight of the newest answer in the typical time.
+// Weight of the newest sample in the average latency.
 constexpr double LatencySmoothing = 0.2;
-// Beyond the wait of a call that the store holds, and for large answers.
+// Added to the long-poll time; also the timeout for large responses.
 constexpr Milliseconds LongPollSlack{1000};
-// The store is silent if a call has been out so long and nothing was answered since.
+// The store is unresponsive when a call has been pending, or calls have failed without any answer,
+// for this long.
 constexpr Milliseconds UnresponsiveAfter{450};
-// After so many failures in a row calls go through peers. Meanwhile a read of the process's own
-// tries the store straight at this interval, so that no caller's work hangs on the attempt.
+// Calls are relayed through peers after this many failures in a row. Meanwhile probes try the store
+// directly, so that no caller's request has to.
 constexpr int FailuresForRelay = 2;
-// Probes overlap, so that one which gets no answer holds up none after it and a store that is back
-// is found at once. Hundreds of boxes probe less often, which keeps their calls below the store's
-// rate.
+// The interval grows with the number of peers, to bound the call rate of a large cell. Probes may
+// overlap: one without an answer delays none after it, and a store that is back is found at once.
 constexpr Milliseconds MinProbeInterval{100};
 constexpr Milliseconds MaxProbeInterval{300};
 constexpr Milliseconds ProbeIntervalPerPeer{10};
 constexpr Milliseconds ProbeTimeout{400};
-// Peers tried for one call; if the store is down for all, more would only cost time.
+// For one call. If the store is down for all peers, more attempts would only cost time.
 constexpr size_t MaxPeersTried = 3;
-// When none of them is served either, calls fail at once for this time. Each of hundreds of boxes
-// would otherwise turn a call that the store refuses for its rate into four.
+// Relayed calls fail immediately for this time after all peers tried were rejected too. Otherwise
+// each call that the store rejects for its rate would become several.
 constexpr Milliseconds RelayBackoff{250};
-// After a call that failed the store still serves this process if it has answered it within this
-// time. Without any it does: a process of a large fleet has little to call for.
+// After a failed call, the store still counts as directly reachable if it has answered within this
+// time. Without a failed call the last answer may be older: a process of a large fleet makes few
+// calls.
 constexpr Milliseconds DirectAnswerFreshness{2500};
-// Callers' budgets are a few seconds: one that is told a longer time does not come again.
+// Callers have a few seconds: one that is told to wait longer does not come back.
 constexpr std::chrono::seconds MinRetryAfter{1};
 constexpr std::chrono::seconds MaxRetryAfter{5};
 constexpr int HttpTooManyRequests = 429;
@@ -60,7 +62,7 @@
 }
 
 void StoreRouter::recordLatency(bool Answered, Milliseconds Latency, Milliseconds Timeout) {
-  // A call that was given up took at least twice its limit, as far as anybody knows.
+  // A call that timed out counts as twice its timeout, since its latency is unknown.
   const double Sample = static_cast<double>(Answered ? Latency.count() : 2 * Timeout.count());
   AverageLatencyMs += LatencySmoothing * (Sample - AverageLatencyMs);
 }
@@ -97,7 +99,7 @@
                                                          Milliseconds Timeout) {
   const std::vector<Endpoint> Candidates = Peers();
   Result<HttpResponse> Answer =
-      Error{ErrorKind::UpstreamUnavailable, "no peer reaches the store either"};
+      Error{ErrorKind::UpstreamUnavailable, "no peer can reach the store"};
   if (Time.Now() < RelayBackoffUntil)
     co_return Answer;
   for (size_t Tried = 0; Tried < std::min(Candidates.size(), MaxPeersTried); ++Tried) {
@@ -109,7 +111,7 @@
     }
     ++NextPeer;
     if (error(Answer).Kind == ErrorKind::UpstreamCut)
-      co_return Answer; // it may have been carried out
+      co_return Answer; // it may have been executed
   }
   RelayBackoffUntil = Time.Now() + RelayBackoff;
   recordFailure();
@@ -124,7 +126,7 @@
   return !usesPeers() && LastDirectAnswer != TimePoint{} && !Fails;
 }
 
-// Calls straight and notes what that says of the store.
+// Calls the store directly and records the outcome.
 Awaitable<Result<HttpResponse>> StoreRouter::callDirect(const StoreCall &Call,
                                                         Milliseconds Timeout) {
   const TimePoint SentAt = Time.Now();
@@ -156,7 +158,7 @@
 Awaitable<void> StoreRouter::probeOnce() {
   StoreCall Call;
   Call.Request = ProbeRequest;
-  Call.IsLarge = true; // says nothing of the typical time
+  Call.IsLarge = true; // keeps the probe out of the average latency
   co_await callDirect(Call, ProbeTimeout);
 }
 
@@ -182,7 +184,7 @@
     co_return Answer;
   if (!Probing)
     spawnLater(Where, probeLoop());
-  // What was refused surely was not done; a peer may be served.
+  // A rejected call was certainly not executed, so that a peer may try it.
   const bool Refused = ok(Answer) || error(Answer).Kind == ErrorKind::UpstreamUnavailable;
   if (!Refused)
     co_return Answer;
@@ -195,10 +197,12 @@
 Awaitable<Result<HttpResponse>> StoreRouter::callForPeer(HttpRequest Request,
                                                          Milliseconds Timeout) {
   if (!isDirectlyReachable())
-    co_return Error{ErrorKind::UpstreamUnavailable, "the store does not answer here either"};
+    co_return Error{ErrorKind::UpstreamUnavailable,
+                    "the store is not directly reachable from this process"};
   Result<HttpResponse> Answer = co_await SendDirect(std::move(Request), Timeout);
   if (ok(Answer) && isRejected(Answer))
-    co_return Error{ErrorKind::UpstreamUnavailable, "the store refuses here as well"};
+    co_return Error{ErrorKind::UpstreamUnavailable,
+                    "the store rejects calls from this process as well"};
   co_return Answer;
 }
 
--- a/src/cell/store_path_test.cpp
+++ b/src/cell/store_path_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The way of a call to the store: paced time outs, silence, peers.
+// Timeouts, relaying, retry times and detection of an unresponsive store.
 #include "valveshelf/store_path.h"
 
 #include <boost/asio.hpp>
@@ -14,11 +14,11 @@
 struct Bench {
   boost::asio::io_context Io;
   TimePoint Now = Steady::now();
-  std::deque<Result<HttpResponse>> DirectAnswers; ///< Answers of the store; the last one stays.
-  Milliseconds Latency{4};                        ///< What an answer takes, on the test's clock.
+  std::deque<Result<HttpResponse>> DirectAnswers; ///< Responses of the store; the last one repeats.
+  Milliseconds Latency{4};                        ///< Of a response, on the test's clock.
   Result<HttpResponse> PeerAnswer = HttpResponse{200, {}, "peer"};
   std::vector<Milliseconds> Timeouts;
-  int UnansweredCalls = 0; ///< So many calls get no answer, in real time.
+  int UnansweredCalls = 0; ///< This many calls get no answer, in real time.
   int DirectCalls = 0;
   int PeerCalls = 0;
   StoreRouter Router{
@@ -72,7 +72,7 @@
   Given.DirectAnswers = {Good};
   for (int I = 0; I < 40; ++I)
     Given.call();
-  EXPECT_EQ(Given.Timeouts.back(), 120ms); // the least
+  EXPECT_EQ(Given.Timeouts.back(), 120ms); // the minimum
   Given.Latency = 110ms;
   for (int I = 0; I < 40; ++I)
     Given.call();
@@ -88,14 +88,14 @@
   EXPECT_EQ(value(Second).Body, "peer");
   const int Before = Given.DirectCalls;
   EXPECT_EQ(value(Given.call()).Body, "peer");
-  EXPECT_EQ(Given.DirectCalls, Before) << "a caller's work must not hang on the straight way";
+  EXPECT_EQ(Given.DirectCalls, Before) << "a caller's request must not wait for the direct route";
 }
 
 TEST(StoreRouter, DoesNotRelayCallOfUnknownOutcome) {
   Bench Given;
   Given.DirectAnswers = {Lost};
   EXPECT_FALSE(ok(Given.call()));
-  EXPECT_FALSE(ok(Given.call())); // it may have been carried out: the caller decides
+  EXPECT_FALSE(ok(Given.call())); // it may have been executed: the caller decides
   EXPECT_EQ(Given.PeerCalls, 0);
   EXPECT_EQ(value(Given.call()).Body, "peer");
 }
@@ -125,7 +125,7 @@
   EXPECT_EQ(Given.DirectCalls, 2);
   Given.Now += 300ms;
   Given.PeerAnswer = Good;
-  EXPECT_EQ(value(Given.call()).Body, "direct"); // this peer's answer: it is served now
+  EXPECT_EQ(value(Given.call()).Body, "direct"); // relayed: the peer is served now
   EXPECT_EQ(Given.PeerCalls, 2);
 }
 
@@ -151,14 +151,13 @@
   EXPECT_EQ(Given.Router.retryAfter(), 5s);
 }
 
-// All processes were started anew after a loss of power. In the 50 ms until each had read its
-// configuration it refused 112 callers and told them to come again in five seconds; they have
-// three. The time was reckoned from an answer of the store that never came.
+// Before any answer, the time counts from the start of the process; a longer one makes callers give
+// up.
 TEST(StoreRouter, RetryAfterIsShortAfterStart) {
   Bench Given;
   EXPECT_EQ(Given.Router.retryAfter(), 1s);
   Given.Now += 4s;
-  EXPECT_EQ(Given.Router.retryAfter(), 4s) << "the store has been away since the start";
+  EXPECT_EQ(Given.Router.retryAfter(), 4s) << "counted from the start of the process";
 }
 
 TEST(StoreRouter, UnansweredProbeDoesNotDelayNextProbe) {
@@ -172,8 +171,8 @@
   EXPECT_TRUE(Given.Router.isDirectlyReachable());
 }
 
-// A process of a large fleet calls the store each few seconds. That it has not called says nothing
-// of the store: it stays ready, passes calls on for others and may schedule.
+// A process of a large fleet calls the store rarely. An idle one must stay ready, relay calls and
+// be able to schedule.
 TEST(StoreRouter, IdleProcessStaysDirectlyReachable) {
   Bench Given;
   Given.DirectAnswers = {HttpResponse{200, {}, ""}};
--- a/src/include/valveshelf/store_path.h
+++ b/src/include/valveshelf/store_path.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// How calls reach the platform's store: straight, or through a peer while the store turns this box
-// away. Knows how fast the store answers just now and whether it has fallen silent.
+// Routes calls to the platform's store: directly, or through a peer while the store rejects this
+// box. Tracks the latency of the store and whether it responds.
 #pragma once
 
 #include "valveshelf/coroutines.h"
@@ -16,18 +16,17 @@
 
 namespace valveshelf {
 
-/// One call to the store.
 struct StoreCall {
   HttpRequest Request;
-  Milliseconds Wait{0}; ///< The store may hold the answer so long.
-  bool IsLarge = false; ///< The answer may be large.
+  Milliseconds Wait{0}; ///< Long-poll time: the store may delay its response by this much.
+  bool IsLarge = false; ///< The response may be large.
 };
 
-/// Carries a call to the store. UpstreamUnavailable: surely not sent. UpstreamCut: sent, and the
-/// answer is lost.
+/// Sends a call to the store. Errors: UpstreamUnavailable if it was certainly not sent, UpstreamCut
+/// if it was sent and the response was lost.
 using StoreTransport = std::function<Awaitable<Result<HttpResponse>>(StoreCall Call)>;
 
-/// Lives on one strand; all calls come from there.
+/// All calls must come from one strand.
 class StoreRouter {
 public:
   using DirectCall =
@@ -35,28 +34,30 @@
   using RelayCall = std::function<Awaitable<Result<HttpResponse>>(
       Endpoint Peer, HttpRequest Request, Milliseconds Timeout)>;
 
-  /// \p Peers lists the processes that could pass a call on. \p Probe is a harmless read that
-  /// tells whether the store serves this box. Both transports outlive the path.
+  /// \p Peers lists the processes that can relay a call. \p Probe is a read-only request that shows
+  /// whether the store serves this box. \p ObserveLatency receives the duration of each call that
+  /// is not a long poll. What the functions refer to must outlive the router.
   StoreRouter(Executor Where, Clock Time, HttpRequest Probe, DirectCall SendDirect,
               RelayCall SendViaPeer, std::function<std::vector<Endpoint>()> Peers,
               std::function<void(Steady::duration)> ObserveLatency);
 
   Awaitable<Result<HttpResponse>> call(StoreCall Call);
-  /// A call for a peer: straight only, and only if the store answers this process.
+  /// Sends a call for a peer. It is never relayed further: fails with UpstreamUnavailable unless
+  /// the store is directly reachable.
   Awaitable<Result<HttpResponse>> callForPeer(HttpRequest Request, Milliseconds Timeout);
-  /// True while calls are out and none has been answered for longer than the store ever takes;
-  /// what is written now would have no certain outcome.
+  /// True while calls are pending or failing and none has been answered for longer than the store
+  /// ever takes. A write sent now would have an unknown outcome.
   bool isUnresponsive() const;
-  /// True if the store serves this process straight, as far as is known.
+  /// True if, as far as is known, the store serves this process without a relay.
   bool isDirectlyReachable() const;
-  /// When a caller that was refused for want of the store should come again: after as long as the
-  /// store has been away, since an outage of unknown length has about half of it left; 1 to 5 s.
-  /// For a process that no store has answered yet it has been away since the process started.
+  /// Retry-After for callers that are refused because the store is unavailable: the duration of the
+  /// outage so far, as an estimate of what remains, within 1 to 5 s. Before the first answer the
+  /// outage counts from the start of the process.
   std::chrono::seconds retryAfter() const;
-  /// When the store last answered, on either way.
+  /// When the store last answered, directly or through a peer.
   TimePoint lastAnswer() const { return LastAnswer; }
-  /// For how long calls have failed and none was answered, on either way. A process that has had
-  /// nothing to call for is not failing.
+  /// Time since the first failure after the last answer, direct or relayed; 0 if there was none. An
+  /// idle process is not failing.
   Steady::duration failingFor() const;
 
 private:
@@ -77,18 +78,17 @@
   const DirectCall SendDirect;
   const RelayCall SendViaPeer;
   const std::function<std::vector<Endpoint>()> Peers;
-  const std::function<void(Steady::duration)>
-      ObserveLatency;           ///< Told how long each plain call took.
-  double AverageLatencyMs = 20; ///< Moving average of the time of an answer.
-  int ConsecutiveFailures = 0;  ///< Of straight calls.
+  const std::function<void(Steady::duration)> ObserveLatency;
+  double AverageLatencyMs = 20; ///< Exponential moving average.
+  int ConsecutiveFailures = 0;  ///< Of direct calls.
   TimePoint LastDirectAnswer{};
   TimePoint LastAnswer{};
-  TimePoint FirstFailure{}; ///< Of those after the last answer; before it: none.
-  bool Probing = false;     ///< While peers are used: the store is tried straight.
-  std::multimap<TimePoint, int>
-      PendingCalls; ///< Plain calls that wait for an answer, by their start.
+  TimePoint FirstFailure{}; ///< The first since LastAnswer; not later than that: none.
+  bool Probing = false;     ///< `probeLoop` is running.
+  std::multimap<TimePoint, int> PendingCalls; ///< By start time; no long polls.
   size_t NextPeer = 0;
-  TimePoint RelayBackoffUntil{}; ///< No peer was served either; calls fail at once until then.
+  TimePoint RelayBackoffUntil{}; ///< No peer reaches the store; relayed calls fail immediately
+                                 ///< until then.
 };
 
 } // namespace valveshelf
