--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Wiring of an entry process, its readiness and its planned stop.
+// Wiring, readiness and graceful shutdown of an entry process.
 #include "valveshelf/cell_process.h"
 
 #include "cell/caller_api.h"
@@ -18,26 +18,26 @@
 using namespace sched;
 
 namespace {
-// When calls to the store have failed for so long, new connections are better off elsewhere.
+// The process becomes unready when calls to the store have failed for this long, so that new
+// connections go to other processes.
 constexpr Milliseconds UnreadyAfterStoreFailure{3000};
-// A store that has answered within this time is there.
+// The store counts as answering if its last answer is no older than this.
 constexpr Milliseconds StoreAnswerFreshness{700};
-// The balancer needs two missed probes, a second apart, to send new connections elsewhere.
+// The load balancer sends new connections elsewhere after two failed probes, a second apart.
 constexpr Milliseconds BalancerDrainTime{2600};
-// Kept back from the time for a planned stop, so that the process ends before it is killed.
+// Kept free at the end of the grace period, so that the process exits before it is killed.
 constexpr Milliseconds StopMargin{900};
 constexpr Milliseconds StopPollInterval{20};
-// For telling the scheduler what has become durable. Without an answer it is found out whether the
-// scheduler is gone, which costs a connection if it is not, and a cell its scheduler for so long if
-// it is.
+// For announcing durable jobs and cancellations to the scheduler. A timeout makes this process
+// probe the scheduler: a shorter one causes needless probes, a longer one delays a takeover.
 constexpr Milliseconds AnnounceTimeout{200};
-// For asking a peer whether it could schedule.
+// For asking a peer whether it can schedule.
 constexpr Milliseconds CandidateTimeout{150};
-// Two more hops of the cell's own.
+// Added to the timeout of a relayed store call, for the round trip between the peers.
 constexpr Milliseconds RelayOverhead{100};
 // For asking the scheduler to explain a job.
 constexpr Milliseconds ExplainTimeout{2000};
-// For asking a peer for its configuration, some kilobytes.
+// For fetching the configuration of a peer, on top of the long-poll time.
 constexpr Milliseconds ConfigurationTimeout{300};
 constexpr size_t MaxConfigurationBytes = 16 * 1024 * 1024;
 constexpr int HttpOk = 200;
@@ -195,7 +195,7 @@
     co_return Reply;
   }
 
-  // The other processes, the scheduler's before the others.
+  // Addresses of the other processes, the scheduler's first.
   std::vector<Endpoint> peersSchedulerFirst() const {
     std::vector<Endpoint> Found = otherPeers();
     const auto &Leader = View.snapshot().Leader;
@@ -219,7 +219,8 @@
     return Limits;
   }
 
-  // Advice is asked for here, or by a peer on this process's behalf.
+  // Requests advice from the service directly if \p Lane is this process, otherwise through that
+  // member.
   Awaitable<Result<Advice>> askAdvice(std::string Lane, StepKey Step,
                                       std::vector<std::string> Workers, Milliseconds Timeout) {
     if (Lane == Settings.Member)
@@ -227,7 +228,7 @@
     const auto &Members = View.snapshot().Members;
     const auto Found = Members.find(Lane);
     if (Found == Members.end())
-      co_return Error{ErrorKind::UpstreamUnavailable, Lane + " has left"};
+      co_return Error{ErrorKind::UpstreamUnavailable, Lane + " is not a known member"};
     cell::AdviseRequest Request;
     Request.set_job(Step.Job);
     Request.set_round(Step.Round);
@@ -307,7 +308,7 @@
     return Handlers;
   }
 
-  // What has become durable here is told to the scheduler; its watch would bring it as well.
+  // Announces durable jobs and cancellations to the scheduler, ahead of its watch.
   void announce(IntakeUpdate News) {
     if (const auto Scheduler = Lead.scheduler()) {
       for (const std::string &Job : News.Jobs)
@@ -329,7 +330,7 @@
       Message.add_job(std::move(Job));
     for (const JobId Id : News.Cancelled)
       Message.add_cancelled(Id);
-    // Without an answer the scheduler's watch brings the news.
+    // If this fails, the scheduler learns of them through its watch.
     Result<cell::AnnounceReply> Told =
         co_await Peers.Announce(To, std::move(Message), AnnounceTimeout);
     if (!ok(Told) || value(Told).error() != 0)
@@ -362,7 +363,7 @@
     return Found;
   }
 
-  // A call to the store through a peer, and one for a peer.
+  // Sends a call to the store through a peer, where `handleStoreCall` receives it.
   Awaitable<Result<HttpResponse>> relayStoreCall(Endpoint Peer, HttpRequest Request,
                                                  Milliseconds Timeout) {
     cell::StoreCallRequest Message;
@@ -412,7 +413,7 @@
     CallerRequest Request{
         Exchange.method(), Exchange.target(), std::string(findHeader(Exchange.headers(), "Host")),
         readCallerKey(Exchange.headers(), Platform.CallerKeyHeader), std::move(value(Body))};
-    // On the strand of this process, where all state lives.
+    // The strand owns all state.
     const TimePoint ReceivedAt = Time.Now();
     HttpResponse Answer = co_await boost::asio::co_spawn(Where, Api.answer(std::move(Request)),
                                                          boost::asio::use_awaitable);
@@ -421,10 +422,10 @@
     co_await sendWhole(Exchange, std::move(Answer));
   }
 
-  // The operators' page of this process: its figures, and jobs explained.
+  // Serves operators: metrics, traffic, service-level burn and explanations of jobs.
   Awaitable<void> serveOperator(HttpExchange &Exchange) {
     const std::string Path(pathOf(Exchange.target()));
-    HttpResponse Answer = errorResponse({ErrorKind::NotFound, "there is no page " + Path});
+    HttpResponse Answer = errorResponse({ErrorKind::NotFound, "no such page: " + Path});
     if (Path == "/metrics") {
       Metrics.set(metrics::LogLinesLeftOut, static_cast<double>(logLinesLeftOut()));
       Metrics.setTraffic(Meter.stats());
@@ -459,7 +460,7 @@
       Text = value(Reply).text();
     }
     if (Text.empty())
-      co_return errorResponse({ErrorKind::NotFound, "the scheduler knows no such live job"});
+      co_return errorResponse({ErrorKind::NotFound, "the scheduler has no live job with this id"});
     co_return jsonResponse(HttpOk, Text + "\n");
   }
 
@@ -472,12 +473,15 @@
           {{"config", Config.current() ? "yes" : "no"}, {"stopping", Stopping ? "yes" : "no"}});
     WasReady = Ready;
     Metrics.set(metrics::Ready, Ready ? 1 : 0);
-    HttpResponse Answer = Ready ? jsonResponse(HttpOk, "{}")
-                                : errorResponse({ErrorKind::StoreUnavailable, "not ready"});
+    HttpResponse Answer =
+        Ready ? jsonResponse(HttpOk, "{}")
+              : errorResponse(
+                    {ErrorKind::StoreUnavailable,
+                     "the process is stopping, has no configuration or can't reach the store"});
     co_await sendWhole(Exchange, std::move(Answer));
   }
 
-  // Callers keep connections open between requests; an idle one is closed after this.
+  // Idle connections are closed after this time.
   static constexpr Milliseconds IdleTime{60000};
   static constexpr std::string_view JobsPath = "/v1/jobs/";
   static constexpr std::string_view ExplainPath = "/explain";
@@ -489,7 +493,7 @@
   const CellLink Peers;
   const TrafficMeter &Meter;
   CellMetrics Metrics;
-  BurnBook Burn; ///< Of what ended while this process scheduled; of the strand.
+  BurnBook Burn; ///< Jobs that ended while this process was the scheduler. Only used on the strand.
   StoreRouter Router;
   const KeyValueStore Store;
   CellView View;
@@ -501,8 +505,8 @@
   HttpServer Readiness;
   HttpServer Operators;
   CellServer PeerServer;
-  std::string Packed;         ///< The newest configuration that a peer was told,
-  uint64_t PackedVersion = 0; ///< and its version.
+  std::string Packed;         ///< The configuration last sent to a peer, compressed.
+  uint64_t PackedVersion = 0; ///< Version of `Packed`.
   bool Stopping = false;
   bool WasReady = false;
 };
