--- a/src/cell/leadership.cpp
+++ b/src/cell/leadership.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The claim on the cell, its renewal and its end.
+// Claiming, renewing and handing over leadership.
 #include "cell/leadership.h"
 
 #include "valveshelf/events.h"
@@ -12,20 +12,21 @@
 using namespace sched;
 
 namespace {
-// How often a process looks whether it should claim; a claim is worth a few calls to the store.
+// Interval at which a process checks whether it should claim leadership.
 constexpr Milliseconds ClaimPollInterval{40};
-// After a claim that failed.
+// After a failed claim.
 constexpr Milliseconds RetryDelay{150};
-// Renewals in one life of the claim; two may be lost.
+// Renewals in the lifetime of a lease; two may be lost.
 constexpr int RenewalsPerLease = 4;
-// A planned stop waits so long for what has to be saved.
+// Time limit for saving pending state before leadership is given up.
 constexpr Milliseconds FlushTimeout{600};
-// Added to the turn of a process that reaches the store only through peers.
+// Added to the claim delay of a process that reaches the store only through peers.
 constexpr Milliseconds IndirectClaimDelay{500};
-// So many of the strongest processes are told that the scheduler is gone; some may be gone too.
+// Maximum number of members that are notified or asked; some may have failed too.
 constexpr size_t MaxCandidatesContacted = 4;
-// A term is given to a process with so many times the processor, or to an equal one if the store
-// does not serve this one for some time. A change costs about half a second, so it is rare.
+// Leadership is handed over to a member with this many times the power, or to an equal one if the
+// store has not served this process directly for IndirectHandOverDelay. A change interrupts
+// scheduling, so it must be rare.
 constexpr double HandOverPowerRatio = 1.5;
 constexpr Milliseconds IndirectHandOverDelay{1000};
 constexpr Milliseconds MinTermDuration{2000};
@@ -52,8 +53,8 @@
 void Leadership::viewChanged() {
   if (View.snapshot().Leader)
     noteTerm(Terms, View.snapshot().Leader->Term, Tools.Time.Now());
-  // A process that has just started looks at once whether the scheduler that it reads of is there.
-  // When all lost power, the claim would wait for that one's box or the end of its lease.
+  // The known scheduler is probed as soon as this process has started. Otherwise, after a power
+  // loss of all boxes, a claim would wait for its box to return or its lease to expire.
   if (!ProbedAtStart && View.snapshot().Leader) {
     ProbedAtStart = true;
     spawnLater(Tools.Where, probeLeader());
@@ -100,7 +101,7 @@
   notifyStrongerMembers(*Suspect);
 }
 
-// The other members, the strongest first.
+// The other members by descending power.
 std::vector<Member> Leadership::membersByPower() const {
   std::vector<Member> Others;
   for (const auto &[Name, Info] : View.snapshot().Members)
@@ -133,7 +134,7 @@
   return !Stopped && View.snapshot().IsLoaded && Callbacks.IsStoreDirectlyReachable();
 }
 
-// True if another process should schedule from now on, and is ready to.
+// True if another member should take over and can.
 Awaitable<bool> Leadership::hasBetterCandidate(TimePoint TermStart) {
   const TimePoint Now = Tools.Time.Now();
   if (Callbacks.IsStoreDirectlyReachable())
@@ -155,7 +156,7 @@
   co_return false;
 }
 
-// Saves what is known and gives the claim up, so that another can claim at once.
+// Saves pending state and ends the lease, so that another process can claim at once.
 Awaitable<void> Leadership::handOver(std::shared_ptr<SchedulerRunner> Current) {
   co_await Current->flush(FlushTimeout);
   Current->stop();
@@ -186,8 +187,8 @@
   }
 }
 
-// \p ExpectedRevision is the revision of the leader's key when the claim was decided on; one that
-// another process has written since is left alone.
+// \p ExpectedRevision is the revision of the leader key when the claim was decided on. The claim
+// fails if another process has written the key since.
 Awaitable<Result<Claim>> Leadership::claim(uint64_t ExpectedRevision) {
   Result<KeyValue> Term = co_await Tools.Store.Get(std::string(TermKey));
   if (!ok(Term))
@@ -206,10 +207,11 @@
   Put.Puts.push_back({std::string(LeaderKey), encodeLeader(Self), 0, Own.Lease});
   Put.Puts.push_back({std::string(TermKey), std::to_string(Own.Term), 0, 0});
   Result<TransactionResult> Written = co_await Tools.Store.Commit(std::move(Put));
+  // If the write was applied after all, the lease expires or the key is this process's own.
   if (!ok(Written))
-    co_return error(Written); // if it was done after all, the lease lapses or the key is our own
+    co_return error(Written);
   if (!value(Written).Applied)
-    co_return Error{ErrorKind::Conflict, "another process was faster"};
+    co_return Error{ErrorKind::Conflict, "another process has claimed leadership first"};
   Own.LeaderRevision = value(Written).Revision;
   logEvent(events::ClaimMade,
            {{"term", std::to_string(Own.Term)}, {"revision", std::to_string(Own.LeaderRevision)}});
@@ -245,7 +247,7 @@
     Result<Done> Kept = co_await Tools.Store.RenewLease(Own.Lease);
     if (!ok(Kept) && error(Kept).Kind == ErrorKind::NotFound)
       break;
-    // A store that serves nobody is no reason to hand over just as it comes back.
+    // An outage that affects all processes is no reason to hand over when the store is back.
     if (!ok(Kept))
       LastDirectlyReachable = Tools.Time.Now();
     if (Current->loaded() && !RunnerEnded && co_await hasBetterCandidate(TermStart)) {
--- a/src/cell/leadership.h
+++ b/src/cell/leadership.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Who schedules: the process whose claim stands in the store. Any process can be it; a claim holds
-// as long as its lease, and its term is the fence that workers check.
+// Leader election through the store. The process that holds the leader key runs the scheduler. The
+// key lasts as long as its lease, and the term is the fencing token that workers check.
 #pragma once
 
 #include "cell/cell_view.h"
@@ -13,38 +13,39 @@
 
 namespace valveshelf {
 
-/// What leadership asks of other processes, and of its own way to the store.
+/// Queries to other processes and to the store router.
 struct LeadershipCallbacks {
-  /// Whether the process at an address listens.
+  /// Probes whether a process accepts connections at an address.
   std::function<Awaitable<ProbeResult>(Endpoint To, Milliseconds Timeout)> Probe;
-  /// Asks whether the process could schedule, and tells it that the scheduler of \p FailedTerm
-  /// seems gone; 0: none does. Without an answer: false.
+  /// Asks a process whether it can schedule, and reports that the scheduler of \p FailedTerm
+  /// appears to have failed; 0: none. False if there is no answer.
   std::function<Awaitable<bool>(Endpoint To, uint64_t FailedTerm)> CanSchedule;
-  /// Whether the store serves this process straight.
+  /// Whether the store serves this process without a relay.
   std::function<bool()> IsStoreDirectlyReachable;
 };
 
-/// Claims the cell when nobody has it, and runs the scheduler while the claim holds. Lives on one
-/// strand.
+/// Claims leadership of the cell when it has no leader, and runs the scheduler while the claim
+/// lasts. All calls must come from one strand.
 class Leadership {
 public:
   Leadership(const SchedulerDependencies &Tools, CellView &View, LeadershipCallbacks Callbacks);
   void start();
-  /// The snapshot of the cell has changed.
+  /// Must be called after each change of the view.
   void viewChanged();
-  /// Another configuration is in force here.
+  /// Must be called when a new configuration has come into force.
   void configurationChanged(sched::ConfigurationPtr Now);
-  /// Operators want other zones empty, or none.
+  /// Must be called when the set of availability zones to evacuate has changed.
   void zonesChanged(sched::EvacuatedZones Now);
-  /// A call to the scheduler failed. If nothing listens at its address it is taken for gone before
-  /// its lease has run out; the fence makes that safe should it live on.
-  /// Stronger processes are told, since the next scheduler should be one of them.
+  /// Must be called when a call to the scheduler has failed. If nothing listens at its address it
+  /// is considered failed before its lease expires; fencing makes that safe if it is still running.
+  /// Stronger members are notified, since the next leader should be one of them.
   Awaitable<void> probeLeader();
-  /// A peer asks whether this process could schedule, and says whose scheduler seems gone.
+  /// Answers a peer that asks whether this process can schedule. \p ReportedTerm is the term of a
+  /// scheduler that appears to have failed; 0: none.
   bool canSchedule(uint64_t ReportedTerm);
-  /// Hands the cell over: saves what is known and gives the claim up at once.
+  /// Steps down: saves pending state and ends the lease, so that another process can claim at once.
   Awaitable<void> leave();
-  /// The scheduler, if it runs here and has read the store; else null.
+  /// The scheduler, if it runs in this process and has loaded its state; else null.
   std::shared_ptr<SchedulerRunner> scheduler() const;
 
 private:
@@ -63,14 +64,14 @@
   CellView &View;
   const LeadershipCallbacks Callbacks;
   TimePoint LastHandOverAt{};
-  TimePoint LastDirectlyReachable{}; ///< When the store last served this process straight.
-  TermHistory Terms;                 ///< Of the cell, as this process has seen them.
-  uint64_t FailedTerm = 0;           ///< The term of a scheduler that is taken for gone; 0: none.
+  TimePoint LastDirectlyReachable{}; ///< When the store last served this process without a relay.
+  TermHistory Terms;                 ///< Changes of term that this process has seen.
+  uint64_t FailedTerm = 0;           ///< Term of a scheduler that is considered failed; 0: none.
   bool Probing = false;
-  bool ProbedAtStart = false; ///< Whether the first scheduler that was read of is there.
+  bool ProbedAtStart = false; ///< The first known scheduler has been probed.
   std::shared_ptr<SchedulerRunner> Runner;
-  std::shared_ptr<MemberList> AllMembers; ///< While the runner is there.
-  sched::ConfigurationPtr Config;         ///< In force here; null before the first.
+  std::shared_ptr<MemberList> AllMembers; ///< Null unless `Runner` is set.
+  sched::ConfigurationPtr Config;         ///< Null until one has been read.
   sched::EvacuatedZones Evacuated;
   uint64_t CurrentLease = 0;
   bool Stopped = false;
--- a/src/cell/leadership_test.cpp
+++ b/src/cell/leadership_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The claim on the cell, against a store in memory.
+// Leader election against an in-memory store: unique leaders, takeover from a failed scheduler, and
+// handover to a better one.
 #include "cell/leadership.h"
 
 #include "fakes/fake_key_value_store.h"
@@ -24,8 +25,9 @@
   std::vector<Milliseconds> ProbeTimes;
   bool PeerCouldSchedule = true;
   bool IsStoreDirectlyReachable = true;
-  Roster Published;                                 ///< Of the members that a test adds.
-  std::vector<std::pair<Endpoint, uint64_t>> Asked; ///< Of peers, whether they could schedule.
+  Roster Published; ///< Lists the members that a test adds.
+  std::vector<std::pair<Endpoint, uint64_t>>
+      Asked; ///< Peers asked whether they can schedule, with the failed term.
 
   explicit Bench(const std::string &Name) {
     Settings.Member = Name;
@@ -61,7 +63,7 @@
     Lead = std::make_unique<Leadership>(Tools, *View, Callbacks);
   }
 
-  // Runs until \p Holds, for a few seconds at most.
+  // Runs until \p Holds returns true, for a few seconds at most.
   bool runUntil(const std::function<bool()> &Holds) {
     const TimePoint Limit = Steady::now() + 5s;
     while (!Holds() && Steady::now() < Limit)
@@ -92,10 +94,11 @@
 TEST(Leadership, DoesNotOverwriteConcurrentClaim) {
   Bench Given("b");
   bool Raced = false;
-  // Another process claims between this one's decision and its transaction, and the watch tells.
+  // Another process claims between this one's decision and its transaction, and the watch reports
+  // it.
   int Grants = 0;
   Given.Store.BeforeGrant = [&]() -> Awaitable<void> {
-    // The first lease is the member's own, the second the claim's.
+    // The first lease is for the member key, the second for the claim.
     if (++Grants != 2)
       co_return;
     Raced = true;
@@ -120,7 +123,7 @@
   ASSERT_TRUE(Given.runUntil([&] { return Given.View->snapshot().Leader.has_value(); }));
   spawnLater(Given.Io.get_executor(), Given.Lead->probeLeader());
   Given.Io.run_for(100ms);
-  EXPECT_EQ(Given.leaderName(), "a"); // it listens
+  EXPECT_EQ(Given.leaderName(), "a"); // it still listens
   Given.PeerListens = false;
   spawnLater(Given.Io.get_executor(), Given.Lead->probeLeader());
   EXPECT_TRUE(Given.runUntil([&] { return Given.Lead->scheduler() != nullptr; }));
@@ -128,7 +131,7 @@
   EXPECT_EQ(Given.Store.value(std::string(TermKey)), "4");
 }
 
-// Two schedulers behind full links would depose each other for ever.
+// Otherwise two schedulers behind saturated links would depose each other forever.
 TEST(Leadership, ProbesLongerAfterRecentTakeover) {
   Bench Given("b");
   Given.Settings.Timing.LeaderLease = 1500ms;
@@ -232,7 +235,7 @@
   Given.IsStoreDirectlyReachable = false;
   Given.Store.Down = true;
   Given.Io.run_for(1300ms);
-  Given.Store.Down = false; // first seen through a peer
+  Given.Store.Down = false; // first reached through a peer
   Given.Io.run_for(500ms);
   EXPECT_EQ(Given.leaderName(), "a");
 }
