--- a/src/cell/config_watch.cpp
+++ b/src/cell/config_watch.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Reads and watches what operators ask for, and asks peers for the configuration where that is not
-// enough.
+// Reads and watches the operators' keys, and fetches the configuration from peers when the store
+// doesn't deliver it.
 #include "cell/config_watch.h"
 
 #include "valveshelf/events.h"
@@ -13,24 +13,24 @@
 using namespace sched;
 
 namespace {
-// After a failed call, before the next one.
+// After a failed call.
 constexpr Milliseconds RetryDelay{150};
-// The store's and the peers' word is looked at this often. An operator's change has to hold on
-// every process within some seconds, so half a second here leaves room for an answer that is lost.
+// How often this process checks for changes that its watch has not delivered. A change must be in
+// force on every process within seconds, even if a reply is lost.
 constexpr Milliseconds RecheckInterval{500};
-// A watch is answered within its wait; one that is not for so much longer is doubted.
+// Added to the time of a watch before the version counts as unconfirmed.
 constexpr Milliseconds WatchSlack{300};
-// A watch may be answered and yet be silent about changes, while a store sorts its history out.
-// The scheduler therefore reads the key, and the others hear its version with its questions for
-// advice; a process that heard none for so long asks.
+// A watch may be answered without delivering changes, for instance while a store recovers its
+// history. The scheduler therefore reads the key itself, and the others learn its version from its
+// requests for advice; a process that has had no report of a version for this long asks a peer.
 constexpr Milliseconds MaxPeerReportAge{2000};
 constexpr Milliseconds MaxPeerReportAgeUnconfirmed{400};
-// A peer that watches the store holds its answer so long for a newer version. A process that is cut
-// off from it finds out by then and asks the next one.
+// Longest time for which a reply to a peer is held until there is a newer version. A process that
+// has lost its peer notices by then and polls the next one.
 constexpr Milliseconds MaxPeerHold{2000};
-// Between a peer that did not answer, or knows no version yet, and the next one.
+// Before the next poll, if the last one failed or no version is known yet.
 constexpr Milliseconds NextPeerDelay{50};
-// A process that hears from peers reads the store itself after so many that do not answer.
+// A process that polls peers reads the store itself after this many failures in a row.
 constexpr int PeerFailuresBeforeStoreRead = 3;
 } // namespace
 
@@ -68,7 +68,7 @@
 
 void ConfigWatch::applyZones(EvacuatedZones Now) {
   if (Now.Revision < Evacuated.Revision)
-    return; // answers may overtake each other
+    return; // replies may arrive out of order
   const EvacuatedZones Before = std::exchange(Evacuated, std::move(Now));
   const std::string Revision = std::to_string(Evacuated.Revision);
   for (const std::string &Zone : Evacuated.Names)
@@ -141,14 +141,14 @@
   }
   LastPeerReport = Time.Now();
   const PeerConfiguration &Known = value(Answer);
-  // An answer without a newer version was held to its end.
+  // A reply without a newer version was held for the whole wait.
   const TimePoint ReportedAt = Known.NewerBytes.empty() ? AskedAt + Wait : AskedAt;
   if (!Known.NewerBytes.empty())
     applyEncoded(Known.NewerBytes, toString(Peer));
   if (Known.Version == version())
     ConfirmedAt = std::max(ConfirmedAt, ReportedAt - Known.ConfirmedAge);
   else if (isUnconfirmed())
-    ++NextPeer; // it knows less than this process
+    ++NextPeer; // the peer is behind this process
   co_return true;
 }
 
@@ -156,17 +156,18 @@
   co_await Me->fetchFromPeer(std::move(Peer), Milliseconds(0));
 }
 
-// What a process of a large cell hears from those that watch the store.
+// Polls peers that watch the store, in a process that doesn't.
 Awaitable<void> ConfigWatch::peerPollLoop() {
-  int FailedPeers = 0;   // peers in a row
-  bool Answered = false; // the peer that is next has answered just now
+  int FailedPeers = 0;   // in a row
+  bool Answered = false; // the next peer to poll answered the last poll
   while (!Stopped) {
     const std::vector<Endpoint> Watchers = Callbacks.Watchers();
     if (Callbacks.WatchesStore() || Watchers.empty() || FetchInProgress) {
       co_await sleepFor(RetryDelay);
       continue;
     }
-    // A peer that may be gone is not waited for: several in a row would hide a change for too long.
+    // A peer that may be down is polled without a wait: several in a row would delay a change too
+    // long.
     const bool MayHold = Answered && version() != 0;
     Answered = co_await fetchFromPeer(Watchers[NextPeer % Watchers.size()],
                                       MayHold ? MaxPeerHold : Milliseconds(0));
@@ -180,7 +181,7 @@
   }
 }
 
-// What a watch that is silent, cut or turned away does not bring.
+// Catches changes that a silent, failing or rejected watch doesn't deliver.
 Awaitable<void> ConfigWatch::recheckLoop() {
   while (!Stopped) {
     co_await sleepFor(RecheckInterval);
@@ -214,7 +215,7 @@
 Awaitable<void> ConfigWatch::watchLoop() {
   while (!Stopped) {
     if (!Callbacks.WatchesStore()) {
-      Revision = 0; // what changes meanwhile is read when it watches again
+      Revision = 0; // changes in the meantime are read when the watch resumes
       co_await sleepFor(RetryDelay);
       continue;
     }
--- a/src/cell/config_watch.h
+++ b/src/cell/config_watch.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// What operators ask for, as the store has it: the configuration, also as a peer has it where the
-// store can't be heard, and the availability zones that are to be left empty. A version once seen
-// is never left for an older one.
+// Watches what operators write to the store: the configuration, which is also fetched from peers
+// when the store is unreachable, and the availability zones to evacuate. A configuration is never
+// replaced by an older version.
 #pragma once
 
 #include "cell/caller_keys.h"
@@ -19,55 +19,53 @@
 
 namespace valveshelf {
 
-/// What a peer knows of the configuration.
+/// A peer's reply to a request for its configuration.
 struct PeerConfiguration {
-  std::string NewerBytes;       ///< As the store has it; empty: the peer has none newer.
-  uint64_t Version = 0;         ///< That the peer has.
-  Milliseconds ConfirmedAge{0}; ///< Since the store last told it that there is none newer.
+  std::string NewerBytes; ///< Encoded as in the store; empty if the peer has no newer version.
+  uint64_t Version = 0;   ///< Version that the peer has.
+  Milliseconds ConfirmedAge{0}; ///< Time since the store last confirmed that version as the newest.
 };
 
-/// How a process hears of configurations from others, and whom it tells.
+/// Access to peers and to the state of this process, and notifications of changes.
 struct ConfigWatchCallbacks {
-  /// Asks a peer for what it has beyond \p Have; the peer may hold its answer for \p Wait.
+  /// Asks a peer for a version newer than \p Have. The peer may delay its reply by \p Wait.
   std::function<Awaitable<Result<PeerConfiguration>>(Endpoint Peer, uint64_t Have,
                                                      Milliseconds Wait)>
       FetchFromPeer;
-  std::function<std::vector<Endpoint>()> Peers; ///< The scheduler's first, if it is another one.
-  std::function<bool()> IsScheduler;            ///< Whether this process does.
-  /// Whether this process watches the store itself. In a large cell few do, and the others hear of
-  /// a configuration from them: some hundred kilobytes to each of a thousand boxes would fill the
-  /// store's link for a second with each change.
+  std::function<std::vector<Endpoint>()> Peers; ///< The scheduler first, unless it is this process.
+  std::function<bool()> IsScheduler;            ///< Whether this process is the scheduler.
+  /// Whether this process watches the store itself. In a large cell only a few do, and the others
+  /// poll these; otherwise each change would saturate the store's link.
   std::function<bool()> WatchesStore;
-  std::function<std::vector<Endpoint>()>
-      Watchers;                       ///< Peers that do, this process's first choice first.
-  std::function<void()> Changed;      ///< Another version is in force here.
-  std::function<void()> ZonesChanged; ///< Other zones are to be left empty, or none.
+  std::function<std::vector<Endpoint>()> Watchers; ///< Those that do, by preference.
+  std::function<void()> Changed;      ///< Called when a new version has come into force.
+  std::function<void()> ZonesChanged; ///< Called when the set of zones to evacuate has changed.
 };
 
-/// Lives on one strand; all calls come from there.
+/// All calls must come from one strand.
 class ConfigWatch {
 public:
   using Decoder = std::function<Result<sched::CellConfiguration>(std::string_view Bytes)>;
-  /// \p Decode reads the configuration.
+  /// \p Decode decodes the stored configuration.
   ConfigWatch(Executor Where, Clock Time, KeyValueStore Store, const CellSettings &Settings,
               OperatorKeys Keys, Decoder Decode, ConfigWatchCallbacks Callbacks);
   void start();
   void stop() { Stopped = true; }
-  /// Null until the first version was read.
+  /// Null until a version has been read.
   sched::ConfigurationPtr current() const { return CallerKeyIndex.Config; }
   /// The keys of the current version.
   const KeyIndex &callerKeys() const { return CallerKeyIndex; }
-  /// 0: none yet.
+  /// 0 until a version has been read.
   uint64_t version() const { return CallerKeyIndex.Config ? CallerKeyIndex.Config->Version : 0; }
-  /// The zones to be left empty, as last read.
+  /// The zones to evacuate, as last read.
   const sched::EvacuatedZones &evacuated() const { return Evacuated; }
-  /// What a peer that has version \p Have is told: at once if this process has a newer one,
-  /// otherwise when it has or after \p Wait.
+  /// Replies to a peer that has version \p Have: at once if this process has a newer one, otherwise
+  /// as soon as it has one or after \p Wait.
   Awaitable<PeerConfiguration> answerPeer(uint64_t Have, Milliseconds Wait);
-  /// True if neither the store nor a peer that hears it has confirmed the version in force for so
-  /// long that callers' keys must not be relied on any more, where the settings ask for that.
+  /// True if callers' keys must be refused because neither the store nor a peer has confirmed the
+  /// version in force within `UnconfirmedKeysTime`. Always false if that is not set.
   bool hasStaleKeys() const;
-  /// A peer has said which version it has; a newer one is asked for there.
+  /// Must be called when a peer has reported its version; fetches it if it is newer.
   void notePeerVersion(const Endpoint &Peer, uint64_t Version);
 
 private:
@@ -77,7 +75,8 @@
   Awaitable<bool> fetchFromPeer(Endpoint Peer, Milliseconds Wait);
   static Awaitable<void> fetchOnce(ConfigWatch *Me, Endpoint Peer);
   Awaitable<Result<uint64_t>> readAll();
-  /// True if the store has not confirmed the version in force within the time of a watch.
+  /// True if the last watch failed, or the store has not confirmed the version in force within the
+  /// time of a watch.
   bool isUnconfirmed() const;
   void applyConfiguration(const KeyValue &Item);
   void applyZoneChange(const KeyChange &Change);
@@ -91,16 +90,18 @@
   const OperatorKeys Keys;
   const Decoder Decode;
   const ConfigWatchCallbacks Callbacks;
-  KeyIndex CallerKeyIndex; ///< Of the version in force; its configuration is null before the first.
+  KeyIndex CallerKeyIndex; ///< Of the version in force; its configuration is null until one has
+                           ///< been read.
   sched::EvacuatedZones Evacuated;
-  std::string EncodedConfiguration; ///< That version as it was read.
-  uint64_t Revision = 0;            ///< The watch goes on from here; 0: everything has to be read.
-  TimePoint ConfirmedAt{};    ///< When the store last had nothing newer, told here or to a peer.
-  TimePoint LastPeerReport{}; ///< When a peer last said which version it has.
+  std::string EncodedConfiguration; ///< The version in force as it was read.
+  uint64_t Revision = 0;            ///< The watch resumes from here; 0: everything must be read.
+  TimePoint ConfirmedAt{}; ///< When the store last confirmed the version in force, to this process
+                           ///< or to a peer.
+  TimePoint LastPeerReport{}; ///< When a peer last reported its version.
   size_t NextPeer = 0;
-  std::set<SteadyTimer *> HeldReplies; ///< Answers to peers that are held.
-  bool FetchInProgress = false;        ///< A peer is being asked.
-  bool LastWatchFailed = false;        ///< The last one had no answer that says anything.
+  std::set<SteadyTimer *> HeldReplies; ///< Replies to peers that wait for a newer version.
+  bool FetchInProgress = false;
+  bool LastWatchFailed = false;
   bool Stopped = false;
 };
 
--- a/src/cell/config_watch_test.cpp
+++ b/src/cell/config_watch_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The configuration where the store can't be heard, or says nothing though it answers.
+// The configuration watch while the store is unreachable, or answers watches without delivering
+// changes.
 #include "cell/config_watch.h"
 
 #include "fakes/fake_key_value_store.h"
@@ -12,8 +13,8 @@
 using namespace sched;
 using namespace std::chrono_literals;
 
-// A configuration here is the text of its version; organisation "north" has key "k" and the
-// version.
+// A stored configuration is its version in decimal; organisation "north" has the key "k" followed
+// by it.
 Result<CellConfiguration> decode(std::string_view Bytes) {
   if (Bytes == "bad")
     return Error{ErrorKind::BadRequest, "bad"};
@@ -27,8 +28,8 @@
   boost::asio::io_context Io;
   fakes::FakeKeyValueStore Store{Io};
   CellSettings Settings;
-  bool WatchDeliversNothing = false; ///< Watches are answered and tell of no change.
-  bool IsScheduler = false;          ///< This process.
+  bool WatchDeliversNothing = false; ///< Watches are answered without any change.
+  bool IsScheduler = false;
   bool WatchesStore = true;
   PeerConfiguration PeerHas;
   bool PeerAnswers = true;
@@ -91,12 +92,12 @@
   Given.Config->notePeerVersion({"127.0.0.1", 7}, 5);
   Given.runFor(20ms);
   EXPECT_EQ(Given.Config->version(), 5u);
-  EXPECT_EQ(findKeyOwner(Given.Config->callerKeys(), "k3"), nullptr) << "the key was taken away";
+  EXPECT_EQ(findKeyOwner(Given.Config->callerKeys(), "k3"), nullptr) << "the key was removed";
   EXPECT_NE(findKeyOwner(Given.Config->callerKeys(), "k5"), nullptr);
   EXPECT_EQ(Given.Changes, 2);
-  Given.Store.Down = false; // it still shows the older one
+  Given.Store.Down = false; // it still has the older version
   Given.runFor(400ms);
-  EXPECT_EQ(Given.Config->version(), 5u) << "never back within a life";
+  EXPECT_EQ(Given.Config->version(), 5u) << "must not return to an older version";
 }
 
 TEST(ConfigWatch, AsksPeerWhenStoreAndSchedulerAreSilent) {
@@ -143,7 +144,7 @@
     Given.runFor(200ms);
     EXPECT_FALSE(Given.Config->hasStaleKeys());
     Given.Store.Down = true;
-    Given.PeerHas = {"", 3, 0ms}; // a peer that hears the store confirms
+    Given.PeerHas = {"", 3, 0ms}; // a peer that reaches the store confirms
     Given.runFor(1500ms);
     EXPECT_FALSE(Given.Config->hasStaleKeys());
     Given.PeerAnswers = false;
@@ -169,14 +170,14 @@
   EXPECT_EQ(Given.Changes, 1) << "the configuration is the same";
 }
 
-// A watch may be answered and silent for longer than an evacuation has until it is in force.
+// A watch that delivers nothing must not delay an evacuation.
 TEST(ConfigWatch, SchedulerSeesEvacuationWhenWatchDeliversNothing) {
   Bench Given;
   Given.IsScheduler = true;
   Given.start();
   Given.runFor(20ms);
   Given.WatchDeliversNothing = true;
-  Given.runFor(150ms); // the watch that was out has ended
+  Given.runFor(150ms); // the pending watch has ended
   Given.Store.put("op/evacuate/north-a", "{}", 0);
   Given.runFor(700ms);
   EXPECT_EQ(Given.Config->evacuated().Names, std::set<std::string>{"north-a"});
@@ -185,21 +186,21 @@
   EXPECT_TRUE(Given.Config->evacuated().Names.empty());
 }
 
-// In a large fleet a change goes to few processes, and from them to the others.
+// In a large fleet only a few processes watch the store, and the others poll these.
 TEST(ConfigWatch, NonWatcherGetsVersionFromPeerAtOnce) {
   Bench Given;
   Given.WatchesStore = false;
-  Given.Store.put("op/config", "9", 0); // nobody tells it that
+  Given.Store.put("op/config", "9", 0); // it does not watch this
   Given.PeerHas = {"3", 3, 0ms};
   Given.start();
   Given.runFor(300ms);
   EXPECT_EQ(Given.Config->version(), 3u);
   Given.PeerHas = {"4", 4, 0ms};
   Given.runFor(100ms);
-  EXPECT_EQ(Given.Config->version(), 4u) << "the peer holds its answer until then";
+  EXPECT_EQ(Given.Config->version(), 4u) << "the peer holds its reply until there is one";
   const int Asked = Given.PeersAsked;
   Given.runFor(2500ms);
-  EXPECT_LE(Given.PeersAsked - Asked, 3) << "one call each two seconds";
+  EXPECT_LE(Given.PeersAsked - Asked, 3) << "about one poll every two seconds";
 }
 
 TEST(ConfigWatch, NonWatcherReadsStoreWhenPeersDoNotAnswer) {
