--- a/src/cell/member_list.cpp
+++ b/src/cell/member_list.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Watches the list of members and keeps the roster up with it.
+// Watches the list of members and publishes the roster.
 #include "cell/member_list.h"
 
 #include "valveshelf/events.h"
@@ -8,11 +8,11 @@
 using namespace sched;
 
 namespace {
-// After a failed call, before the next one.
+// After a failed call.
 constexpr Milliseconds RetryDelay{150};
-// Between two watches: when a fleet starts, its processes come together.
+// Between two watches, to batch the registrations of a starting fleet.
 constexpr Milliseconds BatchDelay{250};
-// Between two looks at the roster; each change of it goes to every process.
+// Between two updates of the roster, each of which is sent to every process.
 constexpr Milliseconds PublishInterval{500};
 } // namespace
 
@@ -90,7 +90,7 @@
       Transaction Write;
       Write.Conditions.push_back({std::string(LeaderKey), Me->LeaderRevision});
       Write.Puts.push_back({std::string(RosterKey), encodeRoster(*Next), 0, 0});
-      // One that is not written is looked at again; the watch brings what stands.
+      // A failed write is repeated in the next round; the watch delivers the result.
       co_await Me->Store.Commit(std::move(Write));
     }
     co_await sleepFor(PublishInterval);
--- a/src/cell/member_list.h
+++ b/src/cell/member_list.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// All processes of the cell, as the one that schedules knows them; it publishes the roster.
+// All members of the cell, as known to the scheduler, which publishes the roster from them.
 #pragma once
 
 #include "cell/roster.h"
@@ -14,20 +14,19 @@
 
 namespace valveshelf {
 
-/// Lives for one term, on one strand; all calls come from there.
+/// Exists for one term. All calls must come from one strand.
 class MemberList : public std::enable_shared_from_this<MemberList> {
 public:
-  /// What it needs of the process around it.
   struct Callbacks {
     std::function<void()> Changed;                        ///< Called after each change of the list.
-    std::function<const sched::Roster &()> CurrentRoster; ///< The roster as the store has it.
+    std::function<const sched::Roster &()> CurrentRoster; ///< As last read from the store.
   };
-  /// Writes hold as long as the leader's key is at \p LeaderRevision.
+  /// The roster is only written while the leader key is at \p LeaderRevision.
   MemberList(Executor Where, KeyValueStore Store, const CellSettings &Settings,
              uint64_t LeaderRevision, Callbacks Owner);
   void start();
   void stop() { Stopped = true; }
-  /// By name; none before the first reading.
+  /// By name; empty until the list has been read.
   const std::map<std::string, sched::Member> &members() const { return Members; }
 
 private:
@@ -43,7 +42,7 @@
   const uint64_t LeaderRevision;
   const Callbacks Owner;
   std::map<std::string, sched::Member> Members;
-  uint64_t Revision = 0; ///< The watch goes on from here; 0: everything has to be read.
+  uint64_t Revision = 0; ///< The watch resumes from here; 0: everything must be read.
   bool Stopped = false;
 };
 
--- a/src/cell/roster.cpp
+++ b/src/cell/roster.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Who stands on the roster, and how often a process of a cell of some size calls the store.
+// Selection of the roster, and how claims and calls are spread over the processes of a cell.
 #include "cell/roster.h"
 
 #include <algorithm>
@@ -9,20 +9,19 @@
 using namespace sched;
 
 namespace {
-// All processes together make so many calls a second of one kind: a share of what the store takes
-// in that does not grow with the fleet.
+// Call rate of all processes together for one kind of call, whatever the size of the fleet.
 constexpr int SharedCallsPerSecond = 50;
-// Without word a process is blind for no longer than this, whatever the size of the fleet.
+// Upper bound of the interval, and so of the time for which a process may miss a change.
 constexpr Milliseconds MaxInterval{15000};
-// The number of processes is published again when it is off by this part.
+// The number of processes is published again when it is off by more than 1 / this.
 constexpr size_t CountToleranceDivisor = 4;
 
-// A cell of so many processes has all of them hear the store; each change is sent to each of them.
+// Up to this many processes, all watch the store; each change is sent to every watcher.
 constexpr size_t MaxDirectWatchers = 96;
-// Claims of the roster are so far apart.
+// Between the claims of two consecutive members of the roster.
 constexpr Milliseconds ClaimStagger{30};
-// Behind the roster: what a process without any processor would wait, what halves it, and how far
-// equal ones are apart.
+// For processes that are not on the roster: the delay without any CPU cores, the cores that halve
+// it, and the range of the jitter.
 constexpr Milliseconds MaxStrengthDelay{400};
 constexpr double CoresHalvingDelay = 0.125;
 constexpr int64_t ClaimJitterMs = 100;
@@ -34,7 +33,7 @@
                      [&](const Member &One) { return One.Name == Name; });
 }
 
-// The strongest first; of equal ones those that stand already, so that the roster rests.
+// By descending power. Among equals current members come first, which keeps the roster stable.
 ByZone rankedByZone(const Roster &Current, const std::map<std::string, Member> &Live) {
   ByZone Zones;
   for (const auto &[Name, One] : Live)
--- a/src/cell/roster_test.cpp
+++ b/src/cell/roster_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What all processes know of each other, and what that costs in a fleet of any size.
+// Selection and publication of the roster, and the load on the store in fleets of any size.
 #include "cell/member_list.h"
 
 #include "cell/cell_view.h"
@@ -49,11 +49,11 @@
   std::map<std::string, int> Zones;
   for (const Member &One : Next->Members)
     ++Zones[One.Zone];
-  EXPECT_EQ(Zones.size(), 5u) << "the loss of a zone leaves the others";
+  EXPECT_EQ(Zones.size(), 5u) << "members of every zone must be listed";
   EXPECT_EQ(Next->Members.front().Power, 1.0);
 }
 
-// Each change of the roster goes to every process.
+// Each change of the roster is sent to every process.
 TEST(Roster, StaysUnchangedWhileUnlistedMembersComeAndGo) {
   auto All = fleetOf(1000);
   const auto Current = nextRoster({}, All);
@@ -78,7 +78,8 @@
   const auto Next = nextRoster(*Current, All);
   ASSERT_TRUE(Next);
   EXPECT_EQ(namesOf(*Next).count(Lost), 0u);
-  // All entries but two have lapsed with an outage of the store; nobody is forgotten for that.
+  // All registrations but two have expired in an outage of the store; no member may be dropped for
+  // that.
   std::map<std::string, Member> Two;
   for (const Member &One : {Next->Members[0], Next->Members[1]})
     Two[One.Name] = One;
@@ -95,7 +96,7 @@
   EXPECT_EQ(claimDelay(Known, Known.at("a")), 30ms);
   EXPECT_EQ(claimDelay(Known, Known.at("c")), 60ms);
   EXPECT_GE(claimDelay(Known, memberOf("x", "z", 4.0)), 90ms);
-  // Nobody has counted yet: the strong claim before the weak.
+  // Without a roster, strong processes claim before weak ones.
   for (int I = 0; I < 100; ++I) {
     const std::string Name = "box-" + std::to_string(I);
     EXPECT_LT(claimDelay({}, memberOf(Name, "z", 1.0)),
@@ -117,7 +118,7 @@
   const auto Small = nextRoster({}, fleetOf(40));
   for (const auto &[Name, One] : fleetOf(40))
     EXPECT_TRUE(watchesStore(*Small, Name));
-  EXPECT_TRUE(watchesStore({}, "box-1")) << "nobody has counted yet";
+  EXPECT_TRUE(watchesStore({}, "box-1")) << "no roster has been published";
   auto All = fleetOf(1000);
   uint16_t Port = 1000;
   for (auto &[Name, One] : All)
@@ -134,10 +135,10 @@
   EXPECT_EQ(Hear, RosterSize);
   EXPECT_GE(FirstOf.size(), RosterSize - 1);
   for (const auto &[First, Count] : FirstOf)
-    EXPECT_LE(Count, 100) << "twice and a half a fair share";
+    EXPECT_LE(Count, 100) << "at most 2.5 times the fair share";
 }
 
-// What one process that does not schedule calls and is sent in some seconds of a fleet that starts.
+// Watch calls and received bytes of a process that is not the scheduler, while a fleet starts.
 struct WatchTraffic {
   size_t Bytes = 0;
   int Calls = 0;
@@ -165,7 +166,7 @@
   Roster Current;
   std::map<std::string, Member> Joined;
   int Count = 0;
-  for (const auto &[Name, One] : All) { // the others come, and the scheduler publishes now and then
+  for (const auto &[Name, One] : All) { // the others register; the roster follows at intervals
     Store.put(memberKey(Name), encodeMember(One), 0);
     Joined[Name] = One;
     if (++Count % (Boxes / 5) != 0)
@@ -189,7 +190,7 @@
   EXPECT_LE(Large.Calls, Small.Calls);
 }
 
-// The scheduler knows all, and tells the others.
+// A scheduler that has been replaced must not overwrite the roster of its successor.
 TEST(Roster, IsPublishedOnlyByCurrentScheduler) {
   boost::asio::io_context Io;
   fakes::FakeKeyValueStore Store(Io);
@@ -209,7 +210,7 @@
   ASSERT_TRUE(ok(Read));
   EXPECT_EQ(value(Read).Members.size(), RosterSize);
   EXPECT_EQ(value(Read).Processes, 40u);
-  Store.put(std::string(LeaderKey), "another", 0); // this one has been replaced
+  Store.put(std::string(LeaderKey), "another", 0); // a new leader: this scheduler has been replaced
   Store.remove(std::string(RosterKey));
   Io.run_for(700ms);
   EXPECT_EQ(Store.value(std::string(RosterKey)), "");
