--- a/src/cell/caller_keys.cpp
+++ b/src/cell/caller_keys.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Reading and looking up callers' keys.
+// Parsing and lookup of callers' keys.
 #include "cell/caller_keys.h"
 
 #include <xxhash.h>
@@ -12,7 +12,7 @@
 using namespace sched;
 
 namespace {
-// Longer than any key that is handed out (20 bytes) by far; keeps what is hashed short.
+// Well above the length of issued keys (20 bytes); bounds the input of the hash.
 constexpr size_t MaxKeyBytes = 200;
 constexpr unsigned char AsciiSpace = 0x20;
 constexpr unsigned char AsciiDelete = 0x7f;
@@ -22,7 +22,7 @@
   return {Hash.high64, Hash.low64};
 }
 
-// Looks at every byte, whichever differs first.
+// Compares every byte, so that the time does not depend on where the keys differ.
 bool equalInConstantTime(std::string_view A, std::string_view B) {
   if (A.size() != B.size())
     return false;
--- a/src/cell/caller_keys_test.cpp
+++ b/src/cell/caller_keys_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Keys of callers: what is read from a request and whose it is.
+// Guards against accepting malformed, duplicate or unknown keys.
 #include "cell/caller_keys.h"
 
 #include <gtest/gtest.h>
--- a/src/cell/cell_link.cpp
+++ b/src/cell/cell_link.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// The cell's inner protocol: protobuf messages in HTTP bodies, over the client and the server that
-// the process has anyway. gRPC's threads that poll would take a third of a busy scheduler's small
-// processor.
+// The internal protocol of a cell: protobuf messages in HTTP bodies, over the HTTP client and
+// server that the process has anyway. The polling threads of gRPC would take too much CPU time from
+// a scheduler on a small box.
 #include "valveshelf/cell_link.h"
 #include "valveshelf/steady_timer.h"
 
@@ -15,8 +15,7 @@
 constexpr std::string_view MethodPath = "/cell/v1/";
 constexpr std::string_view ContentType = "application/x-protobuf";
 constexpr int HttpOk = 200;
-// Largest message of a peer: an answer of the store that is passed on, a megabyte by its own limit,
-// and room for its framing.
+// The largest message is a relayed response of the store, which the store limits to a megabyte.
 constexpr size_t MaxMessageBytes = 4 * 1024 * 1024;
 
 template <class Request, class Reply>
@@ -63,7 +62,6 @@
 
 CellLink makeHttpCellLink(HttpClient &Client) {
   CellLink Link;
-  // One line a method; the template does the rest.
 #define VALVESHELF_CELL_CALL(Method)                                                               \
   Link.Method = [&Client](Endpoint To, cell::Method##Request Message, Milliseconds Timeout) {      \
     return call<cell::Method##Request, cell::Method##Reply>(Client, #Method, std::move(To),        \
@@ -110,7 +108,8 @@
     return [&Handle](std::string Body) -> Awaitable<HttpResponse> {
       Request Message;
       if (!Message.ParseFromString(Body))
-        co_return errorResponse({ErrorKind::BadRequest, "the message can't be read"});
+        co_return errorResponse(
+            {ErrorKind::BadRequest, "the request body is not a valid protobuf message"});
       const auto Reply = co_await Handle(std::move(Message));
       co_return HttpResponse{
           HttpOk, {{"Content-Type", std::string(ContentType)}}, Reply.SerializeAsString()};
@@ -123,12 +122,11 @@
         Path.starts_with(MethodPath) ? Methods.find(Path.substr(MethodPath.size())) : Methods.end();
     if (Method == Methods.end())
       co_return co_await sendWhole(
-          Exchange,
-          errorResponse({ErrorKind::NotFound, "there is no method " + std::string(Path)}));
+          Exchange, errorResponse({ErrorKind::NotFound, "unknown method " + std::string(Path)}));
     Result<std::string> Body = co_await readWhole(Exchange, MaxMessageBytes);
     if (!ok(Body))
       co_return co_await sendWhole(Exchange, errorResponse(error(Body)));
-    // On the strand of this process, where all state lives.
+    // The strand owns all state.
     HttpResponse Answer =
         co_await asio::co_spawn(Where, Method->second(std::move(value(Body))), asio::use_awaitable);
     co_await sendWhole(Exchange, std::move(Answer));
@@ -136,7 +134,7 @@
 
   const Executor Where;
   const CellHandlers Handlers;
-  std::map<std::string, MethodHandler, std::less<>> Methods; ///< By name; filled at the start only.
+  std::map<std::string, MethodHandler, std::less<>> Methods; ///< By name.
   HttpServer Server;
 };
 
