--- a/src/cell/cell_metrics.cpp
+++ b/src/cell/cell_metrics.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The metrics, in prometheus-cpp.
+// The metrics of an entry process, on prometheus-cpp.
 #include "valveshelf/cell_metrics.h"
 
 #include <prometheus/counter.h>
@@ -16,55 +16,62 @@
 namespace valveshelf {
 namespace metrics {
 const MetricDescriptor Calls{"calls_total", "counter",
-                             "Callers' requests answered, by `case`: the method and the status."};
+                             "Requests of callers answered, by `case`: the method and the status."};
 const MetricDescriptor CallSeconds{"call_seconds", "histogram",
-                                   "From a caller's request to its answer."};
-const MetricDescriptor StoreSeconds{"store_seconds", "histogram",
-                                    "Calls to the platform's store that hold no answer back."};
-const MetricDescriptor Terms{"terms_total", "counter", "Terms as the scheduler that began here."};
-const MetricDescriptor Jobs{"jobs", "gauge", "Live jobs, while this process schedules; else 0."};
-const MetricDescriptor Waiting{"steps_waiting", "gauge",
-                               "Steps with a task to place, while this process schedules; else 0."};
+                                   "Time from a caller's request to the response."};
+const MetricDescriptor StoreSeconds{
+    "store_seconds", "histogram",
+    "Duration of calls to the platform's store, long polls excluded."};
+const MetricDescriptor Terms{"terms_total", "counter",
+                             "Terms that this process has begun as the scheduler."};
+const MetricDescriptor Jobs{"jobs", "gauge", "Live jobs; 0 unless this process is the scheduler."};
+const MetricDescriptor Waiting{
+    "steps_waiting", "gauge",
+    "Steps with a task to place; 0 unless this process is the scheduler."};
 const MetricDescriptor Starts{
     "starts_total", "counter",
-    "Start orders answered, by `case`: the result as numbered in workload.h."};
+    "Start requests answered, by `case`: the result as numbered in workload.h."};
 const MetricDescriptor StartSeconds{"start_seconds", "histogram",
-                                    "From a start order to its answer."};
-const MetricDescriptor Ends{"ends_total", "counter", "Jobs ended and saved, by `case`: the phase."};
+                                    "Time from a start request to the worker's response."};
+const MetricDescriptor Ends{"ends_total", "counter",
+                            "Jobs whose end has been saved, by `case`: the phase."};
 const MetricDescriptor RunsLost{
     "runs_lost_total", "counter",
-    "Runs that ended with their worker, by `case`: how that was found."};
+    "Runs lost with their worker, by `case`: how the loss was detected."};
 const MetricDescriptor TasksGivenUp{
     "tasks_given_up_total", "counter",
-    "Tasks given up with their jobs because they crash their workers."};
+    "Tasks abandoned, with their jobs, because they crash their workers."};
 const MetricDescriptor FirstStartSeconds{
     "first_start_seconds", "histogram",
-    "From the time at which a step could run to the first start of one of its tasks."};
+    "Time from when a step became runnable to the first start of one of its tasks."};
 const MetricDescriptor AdviceSeconds{
     "advice_seconds", "histogram",
-    "From the wish for advice to its answer, waiting for a lane included."};
-const MetricDescriptor PlaceSeconds{"place_seconds", "histogram", "One pass of placement."};
+    "Time from the need for advice to the response, including the wait for a lane."};
+const MetricDescriptor PlaceSeconds{"place_seconds", "histogram", "Duration of a placement pass."};
 const MetricDescriptor Workers{"workers", "gauge",
-                               "Workers known, while this process schedules; else 0."};
+                               "Known workers; 0 unless this process is the scheduler."};
 const MetricDescriptor WorkerListAge{
     "worker_list_age_seconds", "gauge",
-    "How old what is known of the list of workers is, while this process schedules; else 0."};
+    "Age of the known list of workers; 0 unless this process is the scheduler."};
 const MetricDescriptor ZonesEvacuated{
     "zones_evacuated", "gauge",
-    "Availability zones that operators want empty, while this process schedules; else 0."};
+    "Availability zones under evacuation; 0 unless this process is the scheduler."};
 const MetricDescriptor Messages{"messages_total", "counter",
                                 "Calls to the store, to peers, workers and the advice service, by "
                                 "`case`: the kind."};
-const MetricDescriptor MessageBytes{"message_bytes_total", "counter",
-                                    "Bytes of these calls and their answers, by `case`: the kind."};
+const MetricDescriptor MessageBytes{
+    "message_bytes_total", "counter",
+    "Bytes of calls to the store, to peers, workers and the advice service, and of "
+    "their responses, by `case`: the kind."};
 const MetricDescriptor ConnectionsOpened{
     "connections_opened_total", "counter",
-    "Connections opened for these calls, by `case`: the kind."};
+    "Connections opened for calls to the store, to peers, workers and the advice "
+    "service, by `case`: the kind."};
 const MetricDescriptor LogLinesLeftOut{
     "log_lines_left_out", "gauge",
-    "Log lines left out by the limit a kind of event, or because "
+    "Log lines dropped by the rate limit of each kind of event, or because "
     "standard output was not read."};
-const MetricDescriptor Ready{"ready", "gauge", "1 while the process calls itself ready."};
+const MetricDescriptor Ready{"ready", "gauge", "1 while the process reports itself ready, else 0."};
 } // namespace metrics
 
 std::span<const MetricDescriptor *const> allMetrics() {
@@ -96,7 +103,7 @@
 
 namespace {
 const std::string Prefix = "valveshelf_";
-// Seconds; from a local answer to a caller's whole patience.
+// From the time of a local response to a caller's timeout.
 const prometheus::Histogram::BucketBoundaries LatencyBucketsSeconds{
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10};
 } // namespace
--- a/src/cell/cell_metrics_test.cpp
+++ b/src/cell/cell_metrics_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// docs/METRICS.md is the table of metrics, line by line. VALVESHELF_UPDATE=1 writes it anew.
+// Guards against differences between docs/METRICS.md and the code. VALVESHELF_UPDATE=1 rewrites the
+// page.
 #include "valveshelf/cell_metrics.h"
 
 #include <gtest/gtest.h>
