--- a/src/cell/store_path.cpp
+++ b/src/cell/store_router.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // Adaptive timeouts, detection of an unresponsive store, and relaying through peers.
-#include "valveshelf/store_path.h"
+#include "valveshelf/store_router.h"
 
 #include "valveshelf/events.h"
 
--- a/src/cell/store_path_test.cpp
+++ b/src/cell/store_router_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // Timeouts, relaying, retry times and detection of an unresponsive store.
-#include "valveshelf/store_path.h"
+#include "valveshelf/store_router.h"
 
 #include <boost/asio.hpp>
 #include <gtest/gtest.h>
--- a/src/include/valveshelf/cell_process.h
+++ b/src/include/valveshelf/cell_process.h
@@ -9,7 +9,7 @@
 #include "valveshelf/coroutines.h"
 #include "valveshelf/http.h"
 #include "valveshelf/key_value_store.h"
-#include "valveshelf/store_path.h"
+#include "valveshelf/store_router.h"
 #include "valveshelf/traffic.h"
 #include "valveshelf/worker_link.h"
 #include "valveshelf/workload.h"
