--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -41,13 +41,14 @@
 
 /// Figures that the decisions need, from the platform's bounds and from settings.
 struct SchedulerLimits {
-  Milliseconds WorkerLease{6000};         ///< Longest time a worker runs on without word of us.
+  /// A worker kills its runs when no call of the scheduler has reached it for this time.
+  Milliseconds WorkerLease{6000};
   Milliseconds StopTime{200};             ///< Longest time a worker takes to stop a run.
   Milliseconds GangTimeout{3000};         ///< How long gang members wait for each other.
   Milliseconds MaxEarlyStart{250};        ///< A timed round may start so much before its time.
   Milliseconds EndedJobRetention{150000}; ///< How long the state of an ended job is kept.
-  double ClockDrift = 0.02;               ///< Workers' clocks may be off by this part.
-  Milliseconds LeaseMargin{300};          ///< Added to every lease that has to have run out.
+  double ClockDrift = 0.02;       ///< Largest relative error of a worker's clock.
+  Milliseconds LeaseMargin{300};  ///< Added to every lease before it counts as expired.
   Milliseconds QuarantineTime{4000};      ///< How long a worker that fails everything gets no work.
   Milliseconds TicketMargin{120};         ///< A ticket is not used this close to its end.
   Milliseconds PlanTimeout{2500}; ///< A gang whose room is not free by then is planned anew.
@@ -64,16 +65,19 @@
   uint32_t MaxNewWorkersPerTick = 64;      ///< Most that are made ready in one tick.
   Milliseconds FailureAvoidanceTime{1000}; ///< A task that failed goes elsewhere for so long; a
                                            ///< worker that fails everything is set aside by then.
-  int MaxConsecutiveFailures = 3;   ///< A worker that failed so many runs in a row is set aside.
-  uint32_t MaxStartupCrashes = 3;   ///< A task that crashed so many workers in a row as it began is
-                                    ///< given up. Operators allow it from the second on.
-  uint32_t MinConfirmedCrashes = 2; ///< So many of them have to be sure; operators ask for two.
-  uint32_t MaxUnconfirmedCrashes = 4; ///< Without that; operators allow five starts.
+  int MaxConsecutiveFailures = 3;      ///< A worker that failed so many runs in a row is set aside.
+  /// A task is given up after this many consecutive startup crashes if at least
+  /// `MinConfirmedCrashes` of them are confirmed.
+  uint32_t MaxStartupCrashes = 3;
+  uint32_t MinConfirmedCrashes = 2;
+  /// It is given up after this many even if none is confirmed.
+  uint32_t MaxUnconfirmedCrashes = 4;
+  /// The same, with an inherited start counted (`TaskState::InheritedStartWorker`).
   uint32_t MaxCrashesWithInherited =
-      5; ///< With a last start of which nobody is left to tell how it went.
-  uint32_t MaxWeightedCrashes = 5; ///< The same for `TaskState::WeightedCrashes`: a sound task that
-                                   ///< runs beside others is on a worker that crashes often enough.
-  Milliseconds StartupTime{500};   ///< So long after its start a run counts as beginning.
+      5;
+  /// It is given up at this `TaskState::WeightedCrashes` unless its step is lasting.
+  uint32_t MaxWeightedCrashes = 5;
+  Milliseconds StartupTime{500}; ///< A run is in startup for this time after its start.
 };
 
 /// Where an attempt stands.
@@ -85,11 +89,12 @@
   Stopping, ///< A stop was ordered; the run may still be there.
 };
 
-/// How a worker's runs were found to be over without its word.
+/// How a worker incarnation ended without reporting the ends of its runs.
 enum class WorkerEnd {
-  Replaced,     ///< Another life answers at its address.
-  Unlisted,     ///< It is off the platform's list, silent, and its lease is over.
-  LeaseExpired, ///< It is listed, silent, and its lease is over; it may be heard again.
+  Replaced,     ///< Another incarnation answers at its address.
+  Unlisted,     ///< It is not in the platform's list, does not answer, and its lease has expired.
+  LeaseExpired, ///< It is listed but does not answer, and its lease has expired; it may answer
+                ///< again.
 };
 std::string_view toString(WorkerEnd How);
 
@@ -124,38 +129,41 @@
   bool OnTrial = false; ///< It begins apart from others; it is counted in `Worker::IsolatedStarts`.
 };
 
-/// One life of a worker and what is booked on it.
+/// One incarnation of a worker and the attempts booked on it.
 /// Invariant: Booked is the sum of the needs of all attempts that are not Planned, Planned that of
-/// the others, Preemptible that of those that may be stopped; IsolatedStarts counts those on trial.
+/// the others, Preemptible that of those that may be stopped; IsolatedStarts counts those
+/// `OnTrial`.
 struct Worker {
   WorkerInfo Info;
-  uint32_t Slot = 0;   ///< Its number within this term, in `CellState::Slots`; never used again.
-  bool Listed = false; ///< It stands in the platform's list.
-  bool IsSelected = false;    ///< It is to be used: noted in the store, then asked what it holds.
-  bool HasReported = false;   ///< It has answered this scheduler; its attempts are known.
+  uint32_t Slot = 0;          ///< Index into `CellState::Slots`; not reused within a term.
+  bool Listed = false;        ///< The platform lists it.
+  bool IsSelected = false;    ///< To be used: it is recorded in the store, then asked for its runs.
+  bool HasReported = false;   ///< It has reported to this scheduler; its attempts are known.
   bool IsResponsive = true;   ///< The last call to it was answered.
-  bool IsRecorded = false;    ///< The store knows that it may hold runs of ours.
-  bool HasUnsizedRun = false; ///< It holds a run whose size nobody knows.
+  bool IsRecorded = false;    ///< The store records that it may hold runs of this cell.
+  bool HasUnsizedRun = false; ///< It holds a run of unknown size; nothing is placed on it.
   Resources Booked;
   Resources Planned;
-  Resources Preemptible; ///< The most that stopping work here could free.
-  Resources Claimed;     ///< Of its free room, what questions under way are likely to take.
+  Resources Preemptible; ///< Upper bound of what preemption can free here.
+  Resources Claimed; ///< Part of its free room that pending advice requests are expected to use.
   std::map<RunKey, Attempt> Attempts;
-  uint64_t LastEndNumber = 0; ///< Highest number of an end dealt with.
+  uint64_t LastEndNumber = 0; ///< Highest number of a processed end.
+  /// Numbers of ends, each with that of the save that it waits for.
   std::deque<std::pair<uint64_t, uint64_t>>
-      UnsavedEnds;            ///< Number of an end, and the save it needs.
-  uint64_t ForgetThrough = 0; ///< Ends up to here are saved.
-  TimePoint LeaseEnd{};       ///< By then everything on it has been killed.
+      UnsavedEnds;
+  uint64_t ForgetThrough = 0; ///< Ends up to this number are saved; the worker may forget them.
+  TimePoint LeaseEnd{};       ///< By then the worker has killed all its runs.
   int ConsecutiveFailures = 0;
-  TimePoint QuarantinedUntil{};
-  TimePoint ReportAskedAt{};        ///< When it was asked for its last report.
-  TimePoint LeavesAt{};             ///< While it drains: it does not leave before.
-  TimePoint SlowUntil{};            ///< Since it began its life not long ago.
-  bool InEvacuatedZone = false;     ///< Operators want its availability zone empty.
-  TimePoint UnlistedAt{};           ///< When it was found missing in the platform's list.
-  uint32_t IsolatedStarts = 0;      ///< While there is one, nothing else begins here.
-  TimePoint SilentSince{};          ///< When a silence was first counted since it was heard; or 0.
-  bool HasUncountedSilence = false; ///< That has still to be counted against what began here.
+  TimePoint QuarantinedUntil{}; ///< No work is placed here before.
+  TimePoint ReportAskedAt{};    ///< When its last report was requested.
+  TimePoint LeavesAt{};         ///< Earliest time at which it leaves once it drains.
+  TimePoint SlowUntil{};        ///< It is slow until then because it has only just started.
+  bool InEvacuatedZone = false; ///< Operators evacuate its availability zone.
+  TimePoint UnlistedAt{};       ///< When it disappeared from the platform's list.
+  uint32_t IsolatedStarts = 0;  ///< While above 0, nothing else is started here.
+  TimePoint SilentSince{}; ///< When the current silence was first counted; zero if there is none.
+  /// The silence is still to be counted against the runs in startup here.
+  bool HasUncountedSilence = false;
 };
 
 /// What is known of advice for a step. Whether a worker is good for it never changes.
@@ -175,31 +183,38 @@
 
 struct TaskState {
   bool Done = false;
-  Worker *AssignedWorker = nullptr; ///< Where its attempt is; null: none.
-  uint32_t Run = 0;                 ///< The run of its attempt, or the last one.
+  Worker *AssignedWorker = nullptr; ///< Worker of its attempt; null: it has none.
+  uint32_t Run = 0;                 ///< Run number of its attempt, or of the last one.
   std::string Checkpoint;
   std::set<uint32_t> FailedRuns;
+  /// An earlier scheduler may have started it on a worker that has not reported yet.
   bool MayRunOnUnreportedWorker =
-      false; ///< An earlier scheduler may have it on a worker not heard yet.
-  bool MayBeStartedByPredecessor = false; ///< The scheduler before may still start it where nobody
-                                          ///< has heard of this one yet.
+      false;
+  /// The previous scheduler may still start it on a worker that does not know this one yet.
+  bool MayBeStartedByPredecessor = false;
   TimePoint NotBefore{};
+  /// Consecutive workers that crashed, or are suspected to have crashed, during its startup.
   uint32_t StartupCrashes =
-      0; ///< Workers in a row that crashed, or fell silent for good, as it began.
-  std::vector<std::string> SuspectWorkers;  ///< Of them, those that may not have crashed under it,
-  std::vector<std::string> VanishedWorkers; ///< and those that have left the list without a word,
-                                            ///< and count as crashed unless they are heard again.
-  uint32_t WeightedCrashes = 0;   ///< Workers in a row that crashed while they held it; those that
-                                  ///< held nothing else count twice.
-  std::string PendingStartWorker; ///< While `StartupCrashes` is above 0: the worker where it may
-                                  ///< have been started since, which may crash of it; or empty.
-  std::string InheritedStartWorker; ///< Of `SuspectWorkers`, the `PendingStartWorker` of an earlier
-                                    ///< scheduler; or empty.
+      0;
+  /// Of these, the workers whose crash is not confirmed.
+  std::vector<std::string> SuspectWorkers;
+  /// Of these, the workers that left the platform's list without notice. They count as crashed
+  /// unless they answer again.
+  std::vector<std::string> VanishedWorkers;
+  /// Consecutive workers that crashed while running it; those that ran nothing else count twice.
+  uint32_t WeightedCrashes = 0;
+  /// While `StartupCrashes` is above 0: the worker of the last start whose outcome is unknown; or
+  /// empty.
+  std::string PendingStartWorker;
+  /// The one of `SuspectWorkers` that was the `PendingStartWorker` of an earlier scheduler; or
+  /// empty.
+  std::string InheritedStartWorker;
+  /// Number of the save of these fields; the task is not started before it is durable.
   uint64_t CrashCountSave =
-      0;                   ///< The save of these that has to be durable before it is started again.
+      0;
   bool HasStalled = false; ///< A run of it was stopped because it made no progress.
-  const Worker *FailedOn = nullptr; ///< Compared only.
-  TimePoint FailedAt{};             ///< Its last failure.
+  const Worker *FailedOn = nullptr; ///< Only compared; the worker may be gone.
+  TimePoint FailedAt{};             ///< Time of its last failure.
 };
 
 /// Place in the queue: what lies within its organisation's share first; then what can still meet
@@ -260,10 +275,10 @@
   uint64_t PendingSave = 0; ///< Number of the newest save it needs; 0: saved.
 };
 
-/// A worker that is counted in `TaskState::StartupCrashes` and may be alive. It is kept when the
-/// worker is dropped: what was cut off may be heard again.
+/// A worker that is counted in `TaskState::StartupCrashes` and may be alive. Kept when the worker
+/// is dropped, since a worker behind a cut link may answer again.
 struct SuspectWorker {
-  TimePoint LastSuspectedAt{}; ///< When it was counted last.
+  TimePoint LastSuspectedAt{}; ///< When it was last counted.
   std::set<TaskKey> Tasks;
 };
 
@@ -360,17 +375,17 @@
     size_t Failures = 0;
     int MaxAttempts = 0;
   };
-  /// For the log: a run that ended with its worker, which nobody can list any more.
+  /// For the log: a run that was lost with its worker.
   struct LostRun {
     RunKey Run;
     std::string Worker;
     WorkerEnd Cause = WorkerEnd::LeaseExpired;
-    Milliseconds RunTime{0}; ///< From the order, or its answer, to when the worker was last heard.
+    Milliseconds RunTime{0}; ///< From the start order, or its answer, to the worker's last report.
     uint32_t StartupCrashes = 0;     ///< Of the task, as in `TaskState`.
     uint32_t UnconfirmedCrashes = 0; ///< The size of `TaskState::SuspectWorkers`.
     uint32_t WeightedCrashes = 0;
   };
-  /// For the log: a task that is given up with its job, because it crashes its workers.
+  /// For the log: a task that fails its job because it crashes its workers.
   struct GivenUpTask {
     TaskKey Task;
     uint32_t StartupCrashes = 0;
@@ -380,7 +395,8 @@
   /// For the log: a change of `TaskState::StartupCrashes`.
   struct CrashCountChange {
     TaskKey Task;
-    std::string Worker; ///< That the change is about; empty: the task has stood its beginning.
+    std::string Worker; ///< The worker that is counted or no longer counted; empty: the task
+                        ///< survived its startup.
     std::string_view Why;
     uint32_t StartupCrashes = 0;
     uint32_t UnconfirmedCrashes = 0;
@@ -456,25 +472,26 @@
 
 // Workers.
 
-/// True if new work may go there as far as the platform and the operators are concerned: it is
-/// listed, does not leave, and nobody empties its availability zone.
+/// True if the platform and the operators allow new work there: it is listed, not draining, and not
+/// in an availability zone under evacuation.
 bool takesWork(const Worker &On);
 void workerListed(CellState &Cell, const WorkerInfo &Info, TimePoint Now);
 void workerUnlisted(CellState &Cell, const std::string &Id, TimePoint Now);
-/// An earlier scheduler may have runs there.
+/// Notes that an earlier scheduler may have runs there until \p LeaseEnd.
 void workerMayHoldRuns(CellState &Cell, const WorkerInfo &Info, TimePoint LeaseEnd);
-/// \p AskedAt: when the question was sent; what changed later is not in the report.
+/// \p AskedAt: when the report was requested; it does not show later changes.
 void workerReported(CellState &Cell, const std::string &Id, const WorkerReport &Report,
                     TimePoint AskedAt, TimePoint Now, Effects &Out);
+/// A call to the worker was not answered.
 void workerSilent(CellState &Cell, const std::string &Id);
-/// True if nothing of ours runs there and no end of it waits for anything.
+/// True if the worker answers, holds no runs, and none of its ends waits for a save.
 bool isIdle(const Worker &On);
-/// True if a worker of the service may hold runs of an earlier scheduler that are not known yet.
+/// True if a worker of the service may hold runs of an earlier scheduler and has not reported yet.
 bool hasUnreportedWorkers(const CellState &Cell, const std::string &Service);
-/// Another life answers at its address, or its lease has surely run out and it is gone.
+/// Ends all attempts on the worker and removes it.
 void workerEnded(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out,
                  WorkerEnd How = WorkerEnd::Replaced);
-/// A lease until \p End, as the process reckons it, may have reached the worker.
+/// The worker may have received a lease that ends by \p End, on the scheduler's clock.
 void workerLeased(CellState &Cell, const std::string &Id, TimePoint End);
 void startAnswered(CellState &Cell, const std::string &Id, const RunKey &Run, StartResult Answer,
                    TimePoint Now, Effects &Out);
