--- a/src/scheduler/crash_count.cpp
+++ b/src/scheduler/crash_count.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The count of a task's crashes, the workers that it names, and their index in the cell.
+// Crash counts of tasks, and the index of the workers that they name.
 #include "scheduler/crash_count.h"
 
 #include <algorithm>
@@ -16,8 +16,8 @@
     Cell.Doubted.erase(Found);
 }
 
-// Changes the count by \p Change, which returns why, or nothing if it has nothing to change. What
-// is done or has ended is not counted any more.
+// Applies \p Change to a task that is not done, in a live job. \p Change returns the reason for the
+// log, or an empty string if it changed nothing.
 template <class Changer>
 void changeCount(CellState &Cell, const TaskKey &Key, const std::string &Worker, Effects &Out,
                  Changer Change) {
@@ -38,8 +38,8 @@
       {Key, Worker, Why, Task->StartupCrashes, unconfirmedCrashes(*Task)});
 }
 
-// One silence alone may be a cut link. Work that a cut worker had just begun is not held back for
-// it where the store can't be written.
+// False for a single suspicion, which may be a cut link: while the store can't be written, it must
+// not delay work that had just started on the cut worker.
 bool needsDurableCount(const TaskState &Task) {
   return Task.StartupCrashes > 1 || unconfirmedCrashes(Task) < Task.StartupCrashes;
 }
--- a/src/scheduler/crash_count.h
+++ b/src/scheduler/crash_count.h
@@ -1,51 +1,49 @@
 // SPDX-License-Identifier: Apache-2.0
-// How many workers in a row may have crashed as a task began: `TaskState::StartupCrashes` and what
-// belongs to it, each change with its save and its line for the log. What a silence or a loss means
-// for the count is decided in crashes.h. Only the files of this folder include it.
+// `TaskState::StartupCrashes` and the fields that belong to it. Each change requests a save and a
+// log line. crashes.h decides when a silent or lost worker is counted. Private to src/scheduler.
 #pragma once
 
 #include "valveshelf/cell_state.h"
 
 namespace valveshelf::sched {
 
-/// Null: there is no such task.
+/// Null if there is no such task.
 TaskState *findTask(CellState &Cell, const TaskKey &Key);
-/// How many of the workers counted may not have crashed under the task.
+/// Number of counted workers whose crash is not confirmed.
 uint32_t unconfirmedCrashes(const TaskState &Task);
-/// True if the count names the worker: its crash is in doubt, or it has vanished.
+/// True if the worker is counted by name: as a suspect, or as vanished.
 bool countsCrashOf(const TaskState &Task, const Worker &On);
-/// Notes in the cell's index that the count of the task names the worker.
+/// Adds the task to the cell's index of counted workers that may be alive.
 void indexSuspectWorker(CellState &Cell, const TaskKey &Key, const std::string &Worker,
                         TimePoint Now);
-/// The job is forgotten, and its tasks leave the index.
+/// Removes the tasks of a job that is being forgotten from that index.
 void removeJobFromSuspectIndex(CellState &Cell, const Job &Of);
 
-/// The worker may have crashed as the task began.
+/// The worker may have crashed during the startup of the task.
 void suspectCrash(CellState &Cell, const TaskKey &Key, const Worker &On, TimePoint Now,
                   Effects &Out);
-/// It has, which was in doubt or not counted before.
+/// The worker crashed during the startup of the task; it may have been a suspect before.
 void confirmCrash(CellState &Cell, const TaskKey &Key, const Worker &On, WorkerEnd How,
                   TimePoint Now, Effects &Out);
-/// It has not.
+/// The worker has not crashed. Does nothing if it is not counted by name.
 void retractCrash(CellState &Cell, const TaskKey &Key, const std::string &Worker, Effects &Out);
-/// The task has stood its beginning.
+/// The task has survived its startup.
 void clearCrashCount(CellState &Cell, const TaskKey &Key, Effects &Out);
 
-/// True if a crash of the task was counted and is not durable yet: it must not begin again before,
-/// or a scheduler that takes over would count anew. A single silence holds nothing back.
+/// True if the task must not be started because its count is not durable yet: a scheduler that
+/// takes over would miss it. A single suspicion does not delay the task.
 bool awaitsCrashCountSave(const CellState &Cell, const TaskState &Task);
-/// The task is about to be started there; if it was counted, that is saved first. Otherwise a
-/// scheduler that takes over before the crash is seen would not count it.
+/// Records that the task is about to be started on the worker if it has a count. The record is
+/// saved first, so that a scheduler that takes over before the crash is seen counts it.
 void notePendingStart(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out);
-/// True if the task may be started there now, which is noted.
+/// Records the pending start; true if the task may be started there now.
 bool mayStartNow(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out);
-/// The start noted last has not crashed its worker, since the run was never sent or has ended
-/// otherwise. Left standing, the note would count once at each takeover.
+/// Clears the record: the run was never sent, or ended otherwise than with its worker. If it were
+/// kept, each takeover would count a crash.
 void clearPendingStart(CellState &Cell, const TaskKey &Key, Effects &Out);
-/// An order was surely not carried out: neither its worker's silence nor its crash is the task's.
+/// The start order was certainly not carried out: retracts the worker and clears the pending start.
 void noteNeverStarted(CellState &Cell, const TaskKey &Key, const Worker &On, Effects &Out);
-/// A run of the task that an earlier scheduler had started is heard of: it did not crash its
-/// worker.
+/// A run that an earlier scheduler started was reported: it did not crash its worker.
 void retractInheritedStart(CellState &Cell, const TaskKey &Key, Effects &Out);
 
 } // namespace valveshelf::sched
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Which task a lost worker is counted against, and when a task is given up for it.
+// Counts lost workers against the tasks that may have crashed them, and gives up such tasks.
 #include "scheduler/crashes.h"
 
 #include <algorithm>
@@ -8,30 +8,29 @@
 namespace valveshelf::sched {
 
 namespace {
-// A run that its worker's lease has ended may have been done if so much of its estimate has passed;
-// estimates are off by half.
+// A run may be done once this fraction of its estimate has passed; estimates are off by up to half.
 constexpr double MinDoneFraction = 0.5;
-// What may be done is not started elsewhere for this time after the lease: cut links come back
-// within it, and a worker that is gone is off the platform's list by then.
+// A task that may be done is not started elsewhere for this time after the lease expired: by then a
+// cut link is usually restored, and a dead worker is off the platform's list.
 constexpr Milliseconds PossiblyDoneDelay{3000};
-// A worker's calls are held, so that an end is heard of at once; while ends wait to be saved, after
-// this pause.
+// A run's end is reported within this time: calls are held open and answered at once, except while
+// ends wait to be saved.
 constexpr Milliseconds EndReportDelay{250};
-// No run is over sooner, while a task that crashes its worker does it at once and is noticed then,
-// where connections end.
+// No run completes sooner. A task that crashes its worker does so sooner, and the closed connection
+// shows it.
 constexpr Milliseconds MinRunTime{40};
-// What a crash counts in `TaskState::WeightedCrashes`: who else than the only run there should be
-// to blame.
+// Weights of a crash in `TaskState::WeightedCrashes`. The only run on the worker weighs more, as no
+// other task can be at fault.
 constexpr uint32_t SharedCrashWeight = 1;
 constexpr uint32_t SoleRunCrashWeight = 2;
 
-// True if the run may have crashed its worker by beginning.
+// True if the run was sent and has not survived its startup yet.
 bool isInStartup(const Attempt &Entry) {
   return Entry.Phase != AttemptPhase::Planned && !Entry.SurvivedStartup;
 }
 
-// A worker that said that it leaves, or that served on after it had left the list, ended as
-// planned.
+// True if the worker had announced that it leaves, or had still answered after it left the list:
+// its end was planned.
 bool wasLeaving(const Worker &On) {
   return On.Info.Draining || (!On.Listed && On.ReportAskedAt > On.UnlistedAt);
 }
@@ -48,8 +47,8 @@
          (!IsLasting && Task.WeightedCrashes >= Limits.MaxWeightedCrashes);
 }
 
-// Without this a task that crashes its workers takes one after the other, and all that runs there,
-// until its caller goes away.
+// Fails the job of a task that has crashed too many workers. Otherwise the task would crash one
+// worker after the other, and all runs there.
 void giveUpIfCrashing(CellState &Cell, const TaskKey &Key, TimePoint Now, Effects &Out) {
   const TaskState *Task = findTask(Cell, Key);
   Job *Of = Task ? &Cell.Jobs.at(Key.Step.Job) : nullptr;
@@ -73,14 +72,14 @@
                           Task->StartupCrashes, unconfirmedCrashes(*Task), Task->WeightedCrashes});
 }
 
-// True if the run, of which nothing was heard since, may have been done by then.
+// True if the run may have completed by \p Then if its worker has been silent since it started.
 bool mayBeDone(const Attempt &Entry, TimePoint Then) {
   return Entry.StartedAt != TimePoint{} &&
          Then - Entry.StartedAt >= Entry.Estimate * MinDoneFraction;
 }
 
-// True if the run was there when its worker went. An order without an answer may have come too
-// late, and what was seen long before may have been over.
+// True if the run was on the worker when the worker was lost: it was seen there, and so recently
+// that it can't have ended since.
 bool wasRunningAtLoss(const Worker &On, const Attempt &Entry, TimePoint Now) {
   const TimePoint SilentAt = On.SilentSince >= Entry.ConfirmedAt ? On.SilentSince : Now;
   const auto Least = std::max<std::chrono::duration<double, std::milli>>(
@@ -88,8 +87,8 @@
   return Entry.ConfirmedAt != TimePoint{} && SilentAt - Entry.ConfirmedAt < Least;
 }
 
-// True if it was there and can't have been over when its worker fell silent: an end just before
-// that is heard of by nobody. Estimates are off by half.
+// True if the run was on the worker and, by its estimate, can't have ended before the worker fell
+// silent. An end just before the silence would not have been reported.
 bool wasInStartupAtLoss(const Worker &On, const Attempt &Entry, TimePoint Now) {
   const TimePoint SilentAt = On.SilentSince >= Entry.ConfirmedAt ? On.SilentSince : Now;
   const auto Least = std::max<std::chrono::duration<double, std::milli>>(
@@ -97,15 +96,16 @@
   return wasRunningAtLoss(On, Entry, Now) && SilentAt - Entry.StartedAt < Least;
 }
 
-// The worker has crashed under the run, which was the only one there or not.
+// Counts the crash of a worker against a run. \p Alone: it was the only one there.
 void countCrash(CellState &Cell, const Worker &On, const RunKey &Run, WorkerEnd How, bool Alone,
                 TimePoint Now, Effects &Out) {
   const Attempt &Entry = On.Attempts.at(Run);
   TaskState *Task = findTask(Cell, Run.Task);
   if (!Task || Entry.Phase == AttemptPhase::Planned)
     return;
+  // Saved with the next save of the job.
   if (How == WorkerEnd::Replaced &&
-      wasRunningAtLoss(On, Entry, Now)) // kept with the next save of its job
+      wasRunningAtLoss(On, Entry, Now))
     Task->WeightedCrashes += Alone ? SoleRunCrashWeight : SharedCrashWeight;
   if (isInStartup(Entry) && wasInStartupAtLoss(On, Entry, Now))
     confirmCrash(Cell, Run.Task, On, How, Now, Out);
@@ -147,7 +147,7 @@
   if (When.AskedAt - Entry.StartedAt < Cell.Limits.StartupTime &&
       When.WorkerClock - *Entry.FirstListed < Cell.Limits.StartupTime)
     return;
-  // Members of a gang begin their work when the last of them has come.
+  // Members of a gang start their work when all of them are there.
   if (Step->Spec->Gang && Entry.Percent == 0)
     return;
   Entry.SurvivedStartup = true;
@@ -207,14 +207,13 @@
     runEnded(Cell, Run, RunOutcome::LeaseExpired, "", &On, Now, Out);
   }
   if (How == WorkerEnd::LeaseExpired)
-    return; // it is listed: its link is cut rather
+    return; // it is still listed: more likely a cut link than a crash
   for (const RunKey &Run : Lost)
     giveUpIfCrashing(Cell, Run.Task, Now, Out);
 }
 
-// A silent worker that the platform still lists is alive, and lists its ends when it can be reached
-// again. Work that may be among them waits a little before it is started elsewhere; behind a full
-// link it would be done twice.
+// A silent worker that is still listed is probably alive and reports its ends once it can be
+// reached. Restarting such a task at once would do its work twice.
 void delayPossiblyDoneTasks(CellState &Cell, const Worker &On, TimePoint Now) {
   if (!On.Listed)
     return;
@@ -225,8 +224,8 @@
   }
 }
 
-// Where each scheduler ends before it knows what became of the silent worker, none would ever see
-// the last crash.
+// If each scheduler ends before the last suspicion is settled, none of them would otherwise apply
+// the limits.
 void giveUpRestoredTasks(CellState &Cell, TimePoint Now, Effects &Out) {
   std::vector<TaskKey> Counted;
   for (const auto &[Id, Of] : Cell.Jobs)
--- a/src/scheduler/crashes.h
+++ b/src/scheduler/crashes.h
@@ -1,54 +1,52 @@
 // SPDX-License-Identifier: Apache-2.0
-// Workers that are lost under their runs, and the tasks that may be to blame. Only the files of
-// this folder include it.
+// Lost workers, and the tasks that may have crashed them. Private to src/scheduler.
 //
-// A task may crash each worker that begins it. What runs beside it goes down as well, so that a
-// loss alone proves nothing against a task. Three things tell them apart:
-//  - only runs that were beginning are counted, in `TaskState::StartupCrashes`; one that has stood
-//  its
-//    beginning counts as sound again;
-//  - a task that is counted begins apart from others, on a worker where nothing else is beginning;
-//  - a silence is counted at once as a doubt, so that a scheduler that ends meanwhile has saved it.
-//    It is sure when another life answers in the worker's place, and taken back when the worker had
-//    announced that it leaves or is heard again, however late and by whichever scheduler: the
-//    doubt names the worker.
-// A task that was counted three times in a row, twice for sure, is given up with its job; without
-// that at the fourth, and one under which five workers crashed later as well.
+// A task that crashes its worker takes all other runs there with it, so that one crash does not
+// tell which task is at fault. Three rules tell them apart:
+//  - A crash is counted in `TaskState::StartupCrashes` only for runs that were in startup. A run
+//    that survives its startup clears the count of its task.
+//  - A task with a count is started in isolation, on a worker where no other run is in startup.
+//  - A worker that falls silent is suspected at once, so that the suspicion is saved if this
+//    scheduler ends. It is confirmed when another incarnation answers in the worker's place, and
+//    retracted when the worker had announced that it leaves, or answers again at any time, to this
+//    or a later scheduler.
+// `SchedulerLimits` says after how many crashes a task is given up with its job.
 #pragma once
 
 #include "scheduler/crash_count.h"
 
 namespace valveshelf::sched {
 
-/// True if the task is to begin on a worker where nothing else is beginning. Members of a gang
-/// begin together with the others all the same.
+/// True if the task must be started on a worker where no other run is in startup. Members of a gang
+/// are started together in any case.
 bool needsIsolatedStart(const StepState &Step, const TaskState &Task);
-/// True if nothing but \p Run is beginning on the worker.
+/// True if no run on the worker but \p Run is in startup.
 bool hasNoOtherStartups(const Worker &On, const RunKey *Run = nullptr);
-/// When a worker made a report: at the time of its own clock, which lies between the others.
+/// When a worker made a report. WorkerClock was read by the worker between AskedAt and ReadAt.
 struct ReportTimes {
   TimePoint AskedAt{};
-  TimePoint ReadAt{}; ///< Much later, if this process stood still meanwhile.
+  TimePoint ReadAt{}; ///< May be much later than the report if this process was suspended.
   Milliseconds WorkerClock{0};
 };
 
-/// The worker lists the run.
+/// The worker's report lists the run as active. Ends its startup once it has run long enough.
 void noteRunListed(CellState &Cell, Worker &On, const RunKey &Run, Attempt &Entry,
                    const ReportTimes &When, Effects &Out);
-/// The worker lists the end of a run.
+/// The worker's report lists the end of a run.
 void noteEndListed(CellState &Cell, const EndedRun &End, Effects &Out);
-/// Counts the silence of a worker against what was beginning there.
+/// Suspects a crash for each run that was in startup on a worker that fell silent.
 void countSilence(CellState &Cell, Worker &On, TimePoint Now, Effects &Out);
-/// The worker was heard, or had announced that it leaves: it has not crashed by \p AsOf, and what
-/// was counted for it until then is taken back.
+/// The worker answered, or had announced that it leaves: it had not crashed by \p AsOf. Retracts
+/// what was counted for it until then.
 void retractSuspicions(CellState &Cell, Worker &On, TimePoint AsOf, Effects &Out);
-/// Ends all attempts on the worker; tasks that crash their workers are given up.
+/// Ends all attempts on the worker. Unless only its lease expired, gives up tasks that have crashed
+/// too many workers.
 void dropAttempts(CellState &Cell, Worker &On, WorkerEnd How, TimePoint Now, Effects &Out);
-/// Gives up what earlier schedulers saw crash its workers as often as is allowed.
+/// Gives up restored tasks whose saved counts have reached the limits.
 void giveUpRestoredTasks(CellState &Cell, TimePoint Now, Effects &Out);
-/// Work that a silent worker may have done waits a little before it is started elsewhere.
+/// Delays the restart of tasks that a silent worker may have completed.
 void delayPossiblyDoneTasks(CellState &Cell, const Worker &On, TimePoint Now);
-/// Asks what has become of runs on trial.
+/// Requests a report from a worker with isolated starts whose last report is not recent.
 void pollIsolatedStarts(const CellState &Cell, const Worker &On, TimePoint Now, Effects &Out);
 
 } // namespace valveshelf::sched
