--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Workers and the attempts on them: what their reports, answers and silences mean.
+// Workers and their attempts: handles reports, answers to orders, and missing answers.
 #include "scheduler/crashes.h"
 
 #include <algorithm>
@@ -10,24 +10,23 @@
 void tickJobs(CellState &Cell, TimePoint Now);
 
 namespace {
-// A stop whose answer is lost is ordered again after this time; a few round trips.
+// A stop without an answer is sent again after this time, which covers a few round trips.
 constexpr Milliseconds StopRetryDelay{500};
-// How often a start without an answer is sent before it is stopped instead.
+// An unanswered start is sent at most this often, then stopped.
 constexpr int MaxStartSends = 2;
-// A run that shows the same progress in two reports so far apart stands still: a sixth of its time,
-// in which a worker that is eight times slower still shows some.
+// A run without progress for this time, or for 1/StallEstimateDivisor of its estimate if longer,
+// has stalled. A worker that is eight times slower still shows progress in that time.
 constexpr Milliseconds MinStallTime{2000};
 constexpr int StallEstimateDivisor = 6;
-// Without an estimate.
+// The same for a run without an estimate.
 constexpr Milliseconds DefaultStallTime{10000};
-// The members of a gang that is done end within this time, or are stopped.
+// Members of a gang that is done are stopped if they have not ended within this time.
 constexpr Milliseconds GangEndTimeout{1500};
-// Runs that stand still are looked for this often; a fraction of the time above.
 constexpr Milliseconds StallCheckInterval{500};
-// A run that fails within a tenth of its estimate failed at once. Those that fail by their own
-// fault do so somewhere in their work.
+// A run that fails within 1/EarlyFailureDivisor of its estimate counts as failed early, which
+// points to the worker: faults of the task itself occur anywhere in its run time.
 constexpr int EarlyFailureDivisor = 10;
-// A worker that is busy or can't be reached is left alone for this time.
+// No work is placed for this time on a worker that refused a start as busy or was not reachable.
 constexpr Milliseconds BusyBackoff{500};
 
 Worker *findWorker(CellState &Cell, const std::string &Id) {
@@ -35,7 +34,8 @@
   return Found == Cell.Workers.end() ? nullptr : &Found->second;
 }
 
-// Unheard workers keep the old tasks of their service back; with the last one heard they are free.
+// Removes the worker from those that may hold unknown runs. The last one of its service releases
+// the tasks that were held back, since an earlier scheduler may have started them.
 void noteWorkerKnown(CellState &Cell, const std::string &Id, TimePoint Now, Effects &Out) {
   const auto Found = Cell.UnreportedWorkers.find(Id);
   if (Found == Cell.UnreportedWorkers.end())
@@ -49,19 +49,19 @@
       continue;
     for (auto &[Number, Round] : Of.Rounds)
       for (StepState &Step : Round.Steps) {
-        // A gang that an earlier scheduler began in part can't be completed any more.
+        // A gang that an earlier scheduler started only in part can't be completed.
         const bool Partial =
             Step.Spec->Gang && Step.BookedTasks > 0 && Step.BookedTasks < Step.OpenTasks;
         for (uint32_t I = 0; Partial && I < Step.Tasks.size(); ++I)
           if (Step.Tasks[I].AssignedWorker)
             stopAttempt(Cell, *Step.Tasks[I].AssignedWorker, {{Step.Key, I}, Step.Tasks[I].Run},
-                        "the gang is not whole", Now, Out);
+                        "the gang is incomplete", Now, Out);
         queueStep(Cell, Of, Step, Now);
       }
   }
 }
 
-// Counts the attempt against what its organisation may have running.
+// Charges the attempt to the quota of its organisation.
 void chargeAttempt(Attempt &Entry, OrganisationState *Owner, const Resources &Amount) {
   Entry.Owner = Owner;
   Entry.Charge = Amount;
@@ -69,18 +69,19 @@
     Owner->Usage += Amount;
 }
 
-// A run that this scheduler did not start: taken over if the task needs one, else stopped.
+// Handles a reported run that this scheduler did not start: adopts it if its task needs a run, else
+// stops it.
 void adopt(CellState &Cell, Worker &On, const ActiveRun &Row, TimePoint Now, Effects &Out) {
   StepState *Step = findStep(Cell, Row.Run.Task.Step);
   const bool Known = Step && Row.Run.Task.Index < Step->Tasks.size();
   if (!Known) {
-    // Its job has ended, or was never ours. Its size is unknown until it is gone.
+    // The job has ended or is unknown, and so is the size of the run.
     On.HasUnsizedRun = true;
     Cell.OrphanedRuns.insert(Row.Run);
     Attempt &Stray = On.Attempts[Row.Run];
     Stray.Phase = AttemptPhase::Running;
     Stray.StartedAt = Stray.PhaseSince = Now;
-    // It may be as large as the worker.
+    // Charge the capacity of the worker, the most that the run can take.
     if (const auto Was = Cell.EndedJobs.find(Row.Run.Task.Step.Job); Was != Cell.EndedJobs.end())
       chargeAttempt(Stray, findOrAddOrganisation(Cell, Was->second.Organisation), On.Info.Capacity);
     stopAttempt(Cell, On, Row.Run, "its job has ended", Now, Out);
@@ -130,8 +131,8 @@
     Step->Tasks[Step->Spec->Gang ? 0 : Row.Run.Task.Index].Checkpoint = Row.Checkpoint;
 }
 
-// True if the run failed long before its work could be done, and its task had not failed before: a
-// task that fails everywhere says nothing of the worker.
+// True if the run failed early and it is the first failure of its task: a task that fails
+// everywhere is no evidence against the worker.
 bool failedEarly(CellState &Cell, const Worker &On, const RunKey &Run, TimePoint Now) {
   const auto Found = On.Attempts.find(Run);
   const StepState *Step = findStep(Cell, Run.Task.Step);
@@ -143,9 +144,9 @@
          (Now - Entry.StartedAt) * EarlyFailureDivisor < Entry.Estimate;
 }
 
-// A worker whose runs all fail is set aside for a while, so that tasks don't use up their
-// attempts on it; after one that failed at once, for a short one. Both belong to the rule that a
-// task does not go back to where it failed (hasJustFailedOn has the figure).
+// Quarantines a worker after several consecutive failures, so that tasks don't use up their
+// attempts on it, and for a shorter time after one early failure. hasJustFailedOn keeps a task
+// itself away from the worker that failed it.
 void updateQuarantine(CellState &Cell, Worker &On, const EndedRun &End, TimePoint Now) {
   if (End.Outcome == RunOutcome::Done)
     On.ConsecutiveFailures = 0;
@@ -180,7 +181,7 @@
   }
 }
 
-// Runs that were stopped without ever having begun are in no list.
+// Drops runs that were stopped before they started: the worker lists neither them nor their ends.
 void dropNeverStarted(CellState &Cell, Worker &On, const WorkerReport &Report, TimePoint AskedAt,
                       TimePoint Now, Effects &Out) {
   const auto IsActive = [&](const RunKey &Run) {
@@ -199,7 +200,7 @@
   }
 }
 
-// Gang members of a run that can't be whole are stopped at once, before they have waited in vain.
+// Stops the members of a gang run that can't be completed, instead of letting them wait for it.
 void stopGang(CellState &Cell, StepState &Step, uint32_t Run, const char *Why, TimePoint Now,
               Effects &Out) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
@@ -323,7 +324,7 @@
   Out.Stops.push_back({On.Info.Id, Run, Why});
 }
 
-// The worker of that id, which may be new.
+// Returns the worker with that id; adds it if there is none.
 static Worker &findOrAddWorker(CellState &Cell, const std::string &Id) {
   const auto [Place, New] = Cell.Workers.try_emplace(Id);
   if (New) {
@@ -432,14 +433,13 @@
       Cell.Jobs.at(Run.Task.Step.Job).Begun = true;
     return;
   }
-  // Not again to a worker that is to be left empty by now; what the first order did is found out by
-  // a stop.
+  // Not sent again to a worker that no longer takes work; a stop then settles the first order.
   if (Answer == StartResult::Unknown && Entry.Sends < MaxStartSends && takesWork(*On) &&
       findStep(Cell, Run.Task.Step)) {
     setPhase(Cell, *On, Run, AttemptPhase::Uncertain, Now);
     return resendStart(Cell, *On, Run, Entry, Out);
   }
-  // After an order without an answer a refusal proves nothing about that order.
+  // The refusal of a repeated order does not prove that the first one was not carried out.
   if (Answer != StartResult::Unknown && Entry.Sends == 1)
     return startRefused(Cell, *On, Run, Answer, Now, Out);
   StepState *Step = findStep(Cell, Run.Task.Step);
@@ -464,7 +464,7 @@
     Out.ReportRequests.push_back(Id);
 }
 
-// Stops that have to be ordered again or whose end has to be looked for.
+// Sends unconfirmed stops again, and requests a report if the end of a stopped run is overdue.
 static void retryStops(const CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
   bool Look = false;
   for (auto &[Run, Entry] : On.Attempts) {
@@ -487,7 +487,7 @@
   return std::max(MinStallTime, Spec.Estimate / StallEstimateDivisor);
 }
 
-// Members of gangs that are done and have not ended with the others.
+// Stops members of gangs that are done and have not ended with the others.
 static void stopLeftoverGangMembers(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
   std::vector<RunKey> Left;
   for (const auto &[Run, Entry] : On.Attempts)
@@ -497,14 +497,14 @@
     stopAttempt(Cell, On, Run, "the others of its gang have ended", Now, Out);
 }
 
-// True if the task makes no progress for the first time. One that stands still wherever it runs
-// says nothing of the workers; each would be set aside for four seconds in turn.
+// Marks the task as stalled; true if it is the first time. A task that stalls everywhere is no
+// evidence against its workers, which would be quarantined one after the other.
 static bool noteFirstStall(CellState &Cell, const RunKey &Run) {
   TaskState &Task = findStep(Cell, Run.Task.Step)->Tasks[Run.Task.Index];
   return !std::exchange(Task.HasStalled, true);
 }
 
-// Runs that make no progress are stopped and go on elsewhere.
+// Stops runs that make no progress, so that they continue elsewhere.
 static void stopStalledRuns(CellState &Cell, Worker &On, TimePoint Now, Effects &Out) {
   std::vector<RunKey> Stalled;
   for (const auto &[Run, Entry] : On.Attempts) {
@@ -527,8 +527,8 @@
                      [&](const auto &Entry) { return Entry.second == Service; });
 }
 
-// A worker that has left and is known to hold nothing. Kept, its record would make the scheduler
-// after this one wait for its lease before it places anything that was accepted earlier (6.8 s).
+// True if the worker is unlisted and holds nothing. If its record were kept, the next scheduler
+// would wait for its lease to expire before it places jobs that were accepted earlier.
 static bool canBeForgotten(const Worker &On) {
   return !On.Listed && On.HasReported && On.Attempts.empty() && On.UnsavedEnds.empty();
 }
@@ -539,16 +539,17 @@
                      [](const auto &Entry) { return Entry.second.Phase == AttemptPhase::Planned; });
 }
 
-// False for a service that the configuration doesn't name: the entry is another writer's, and its
-// address somebody else's.
+// False for a service that is not in the configuration: another writer made the entry, and its
+// address may belong to something else.
 static bool isConfiguredService(const CellState &Cell, const WorkerInfo &Info) {
   return Cell.Services.empty() || Cell.Services.count(Info.Service) > 0;
 }
 
-// A large fleet is not used as a whole: what is idle beyond some spare costs nothing.
+// Selects more workers if fewer than SpareWorkers are idle or a step found no room. The rest of a
+// large fleet stays unused and costs no calls.
 static void selectWorkers(CellState &Cell, Effects &Out) {
   uint32_t Spare = 0;
-  uint32_t Coming = 0; // wanted, and not ready yet
+  uint32_t Coming = 0; // selected, not ready yet
   for (const auto &[Id, On] : Cell.Workers) {
     const bool Usable = On.IsSelected && takesWork(On);
     Spare += Usable && On.Attempts.empty() ? 1 : 0;
