--- a/src/scheduler/evacuation.cpp
+++ b/src/scheduler/evacuation.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Availability zones that operators want empty.
+// Evacuation of availability zones.
 #include "valveshelf/cell_state.h"
 
 namespace valveshelf::sched {
--- a/src/scheduler/evacuation_test.cpp
+++ b/src/scheduler/evacuation_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Availability zones that operators want empty, and workers that are slow from their start.
+// Evacuation of availability zones, and placement on workers that are still slow after their start.
 #include "replay/placement_scene.h"
 #include "valveshelf/cell_records.h"
 
@@ -18,7 +18,7 @@
   return Info;
 }
 
-// "a1" stands in zone "a"; further workers are added by the tests.
+// A cell with the worker "a1" in zone "a"; tests add more.
 struct TwoZones : PlacementScene {
   TwoZones() : PlacementScene(0) { addWorkerIn("a1", "a"); }
   void addWorkerIn(const std::string &Id, const std::string &Zone) {
@@ -39,7 +39,7 @@
   EXPECT_TRUE(Given.evacuateZones({"a"}));
   const JobId Job = Given.submit(0, tasks(10, 10000, 1s), 100);
   const Effects Out = Given.pass();
-  EXPECT_EQ(Out.Starts.size(), 6u) << "the others find no room";
+  EXPECT_EQ(Out.Starts.size(), 6u) << "no room outside the zone for the others";
   for (const Effects::Start &Order : Out.Starts)
     EXPECT_EQ(Order.Worker, "b1");
   EXPECT_NE(explainJob(Given.Cell, Job, Given.Now).find("\"in_an_evacuated_zone\":1"),
@@ -61,14 +61,15 @@
   Given.evacuateZones({"a"});
   EXPECT_FALSE(evacuate(Given.Cell, {{}, 5}));
   EXPECT_TRUE(Given.Cell.Workers.at("a1").InEvacuatedZone);
-  EXPECT_FALSE(Given.evacuateZones({"a"})) << "the same once more";
+  EXPECT_FALSE(Given.evacuateZones({"a"})) << "the zones have not changed";
 }
 
 TEST(Evacuation, PlannedAttemptsInTheZoneAreDropped) {
   TwoZones Given;
   const StepKey Step{Given.submit(1, tasks(2, 10000, 1s), 100, true), 0, 0};
   Given.pass();
-  // Advice is for the worker, and its ticket has run out: the room is held while one is asked for.
+  // The advice allows the worker but its ticket has expired: the room is held until a new one
+  // arrives.
   adviceAnswered(Given.Cell, Step, {"a1"}, {{"a1", "old"}}, 0ms, Given.Now);
   Given.pass();
   ASSERT_EQ(Given.Cell.Workers.at("a1").Planned.MilliCores, 20000);
@@ -90,7 +91,7 @@
     EXPECT_EQ(Order.Worker, "b1");
 }
 
-// A second order would be a start in the zone, long after the request.
+// A resent order would start a run in the zone after the evacuation was requested.
 TEST(Evacuation, AnUnansweredStartIsNotResentIntoTheZone) {
   TwoZones Given;
   Given.submit(0, tasks(1, 1000, 1s), 100);
@@ -105,7 +106,7 @@
   EXPECT_EQ(After.Stops.size(), 1u);
 }
 
-// One task at work in the zone, and room outside it.
+// One task runs in the zone, and there is room outside it.
 struct WorkInZone : TwoZones {
   explicit WorkInZone(StepSpec Step) {
     submit(1, std::move(Step), 1000);
@@ -128,11 +129,11 @@
   WorkInZone Given(Lasting);
   const Effects Moved = Given.pass();
   ASSERT_EQ(Moved.Stops.size(), 1u);
-  EXPECT_EQ(Moved.Stops.front().Why, "its availability zone is emptied");
+  EXPECT_EQ(Moved.Stops.front().Why, "its availability zone is being evacuated");
   WorkInZone Alone(Lasting);
   Effects Out;
   workerEnded(Alone.Cell, "b1", Alone.Now, Out);
-  EXPECT_TRUE(Alone.pass().Stops.empty()) << "no place elsewhere";
+  EXPECT_TRUE(Alone.pass().Stops.empty()) << "stopped without room elsewhere";
 }
 
 TEST(Evacuation, WorkersAreSelectedOnlyOutsideTheZone) {
@@ -148,7 +149,7 @@
     EXPECT_EQ(On.IsSelected, On.Info.Zone == "b") << Id;
 }
 
-// A caller waits for the slowest task of a step.
+// A step takes as long as its slowest task, so that slow workers are the last choice.
 TEST(SlowStarts, AWorkerThatIsStillSlowIsUsedLast) {
   TwoZones Given;
   WorkerInfo Fresh = workerIn("fresh", "a");
@@ -157,18 +158,18 @@
   Given.Cell.Workers.at("fresh").IsRecorded = true;
   Effects Out;
   workerReported(Given.Cell, "fresh", {}, Given.Now, Given.Now, Out);
-  Given.submit(0, tasks(6, 10000, 1s), 100); // spread over both, if nothing speaks against it
+  Given.submit(0, tasks(6, 10000, 1s), 100); // would be spread over both workers of equal speed
   for (const Effects::Start &Order : Given.pass().Starts)
     EXPECT_EQ(Order.Worker, "a1");
   Given.submit(0, tasks(1, 10000, 1s), 100);
   const auto Beyond = Given.pass().Starts;
-  ASSERT_EQ(Beyond.size(), 1u) << "better late than not at all";
+  ASSERT_EQ(Beyond.size(), 1u) << "a slow worker is used if no other has room";
   EXPECT_EQ(Beyond.front().Worker, "fresh");
   Given.Now += 3s;
   Given.submit(0, tasks(1, 10000, 1s), 100);
   const auto Later = Given.pass().Starts;
   ASSERT_EQ(Later.size(), 1u);
-  EXPECT_EQ(Later.front().Worker, "fresh") << "it has most room now";
+  EXPECT_EQ(Later.front().Worker, "fresh") << "it is no longer slow and has the most room";
 }
 
 } // namespace
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
-// Work on workers that leave, or whose availability zone is emptied, goes on elsewhere if there is
-// a place for it.
+// Moves runs away from workers that drain, have left the platform's list, or are in an availability
+// zone under evacuation, if there is room elsewhere.
 #include "scheduler/pass.h"
 
 #include <algorithm>
 
 namespace valveshelf::sched {
 namespace {
-// Work on workers that leave is looked for this often; they announce it two seconds before or more.
+// Workers announce at least two seconds ahead that they leave.
 constexpr Milliseconds DrainCheckInterval{100};
-// Some leave without a word: a worker that answers and is missing in the list for so long is taken
-// to leave. Entries that lapsed with the store's outage are back within two seconds of its end.
+// A worker that answers but has been unlisted for this time is treated as leaving. Entries that
+// expired during an outage of the store return within two seconds of its end.
 constexpr Milliseconds UnlistedGraceTime{2500};
 
-// A lasting task that was started is at work from when it says so.
+// A lasting task serves once it reports this progress.
 constexpr int ServingPercent = 100;
 
-// Tasks of a lasting step that do not serve just now.
+// Number of tasks of a lasting step that are not serving.
 uint32_t countNotServing(const StepState &Step) {
   uint32_t NotServing = 0;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
@@ -28,7 +28,7 @@
   return NotServing;
 }
 
-// True if the run would be lost with its worker and can go on elsewhere.
+// True if the run would be lost with its worker and can be moved.
 bool shouldMove(const PlacementPass &In, const StepState &Step, const Worker &On,
                 const Attempt &Entry) {
   const StepSpec &Spec = *Step.Spec;
@@ -39,17 +39,18 @@
   if (!Spec.Checkpointable)
     return false;
   const Milliseconds Left = Entry.Estimate * (100 - Entry.Percent) / 100;
-  // Nobody says when a zone that is emptied goes: what would take longer to move than to end stays.
+  // An evacuated zone has no announced end: move only runs that would take longer to end than to
+  // move.
   return On.Info.Draining || !On.InEvacuatedZone ? In.Now + Left > On.LeavesAt
                                                  : Left > In.Cell.Limits.PreemptionMargin;
 }
 
-// A place for a run that is to be moved, ready to be taken. Advice and tickets that are missing are
-// asked for.
+// True if a worker with room, and a valid ticket if it needs one, is ready to take the run.
+// Requests missing advice and tickets.
 bool hasPlaceElsewhere(PlacementPass &In, const Job &Of, StepState &Step, const TaskState &Task) {
   const Worker *To = selectWorker(In, Of, Step, Task);
   if (!To)
-    requestAdviceOnUnknown(In, Of, Step); // after a takeover nothing is known of steps that run
+    requestAdviceOnUnknown(In, Of, Step); // a takeover loses the advice for running steps
   else if (hasTicket(In, Of, Step, *To))
     return true;
   else
@@ -70,14 +71,14 @@
   const Job &Of = In.Cell.Jobs.at(Step->Key.Job);
   if (Of.Phase == JobPhase::Live && hasPlaceElsewhere(In, Of, *Step, Step->Tasks[Run.Task.Index]))
     stopAttempt(In.Cell, On, Run,
-                On.InEvacuatedZone ? "its availability zone is emptied" : "its worker leaves",
+                On.InEvacuatedZone ? "its availability zone is being evacuated" : "its worker leaves",
                 In.Now, In.Out);
 }
 } // namespace
 
-// Work that a leaving worker would take with it is stopped as soon as there is a place for it.
-// Otherwise a lasting task is away until the worker's lease is over (5 s), and a takeover meanwhile
-// holds all old work of the service back for as long.
+// Stops a run on a leaving worker as soon as there is room elsewhere. Otherwise a lasting task
+// would be down until the worker's lease expires, and a takeover would hold back all earlier work
+// of the service for as long.
 void migrateFromLeavingWorkers(PlacementPass &In) {
   if (In.Now < In.Cell.NextLeaveScan)
     return;
