--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-// Random days for the scheduler's decisions: lost and late orders, lost answers, workers that die
-// or are cut off, saves without an answer, takeovers with the old scheduler still talking, and, if
-// asked for, tasks that crash the workers that begin them and workers whose capacity changes, or
-// availability zones that are to be left empty. The
-// world's own records judge every start. VALVESHELF_FUZZ_EVENTS and VALVESHELF_FUZZ_SEED change
-// length and seed; VALVESHELF_FUZZ_TRACE=JOB prints what is counted against that job's tasks.
+// Randomized simulation of the scheduler's decisions under faults: lost, late and unanswered calls,
+// workers that die or are cut off, lost saves, takeovers with the old scheduler still active and,
+// depending on the scenario, tasks that crash their workers, changes of capacity, and evacuations
+// of zones. Every start is checked against the simulation's own records. VALVESHELF_FUZZ_EVENTS and
+// VALVESHELF_FUZZ_SEED set length and first seed; VALVESHELF_FUZZ_TRACE=JOB prints the starts,
+// losses and crash counts of that job's tasks.
 #include "standins/worker_model.h"
 #include "valveshelf/cell_records.h"
 #include "valveshelf/cell_state.h"
@@ -29,7 +29,7 @@
 constexpr Milliseconds WorkerLease{3000};
 constexpr Milliseconds OrderTimeout{300};
 
-// What the store holds.
+// A job in the store.
 struct StoredJob {
   JobSpecPtr Spec;
   JobPhase Phase = JobPhase::Live;
@@ -42,30 +42,32 @@
   WorkerModel Model;
   WorkerInfo Info;
   bool Dead = false;
-  bool IsReplaced = false;               ///< It crashed, and another life answers in its place.
-  bool RefusesConnections = false;       ///< It crashed, and nothing listens there.
-  bool Crashed = false;                  ///< By a task; nothing answers until it is replaced.
-  Resources PreviousCapacity;            ///< Its capacity counts as this one
-  Milliseconds PreviousCapacityUntil{0}; ///< until then: that it shrank has to be heard of.
+  bool IsReplaced = false;         ///< It crashed, and another incarnation answers in its place.
+  bool RefusesConnections = false; ///< It crashed, and connections to it are refused.
+  bool Crashed = false;            ///< By a task; it does not answer until it is replaced.
+  Resources PreviousCapacity;      ///< Capacity that schedulers may still assume
+  Milliseconds PreviousCapacityUntil{0}; ///< until this time, as they learn of a change late.
   Milliseconds UnreachableUntil{0};
   bool ListedGone = false;
 };
 
-// One scheduler process and its view.
+// A scheduler process.
 struct Process {
   CellState Cell;
   bool HasEnded = false;
-  Milliseconds StopsAt{Milliseconds::max()}; ///< A deposed process that does not know it yet.
-  std::set<std::pair<JobId, bool>> Saving;   ///< Jobs, and whether it is their end.
-  std::map<std::string, std::pair<Milliseconds, Milliseconds>> Clocks; ///< Worker's and ours.
+  /// When the process stops after it was deposed without noticing.
+  Milliseconds StopsAt{Milliseconds::max()};
+  std::set<std::pair<JobId, bool>> Saving; ///< Saves in progress: job, and whether it is its end.
+  /// By worker: its clock, and the simulation's at that time.
+  std::map<std::string, std::pair<Milliseconds, Milliseconds>> Clocks;
 };
 using ProcessPtr = std::shared_ptr<Process>;
 
-/// What comes beside the troubles of every world.
+/// Faults beyond those of every world.
 enum class Scenario {
   FaultsOnly,
-  Crashes,     ///< Tasks crash their workers, whose capacity changes.
-  Evacuations, ///< Availability zones are to be left empty for a while.
+  Crashes,     ///< Tasks crash their workers; capacities change.
+  Evacuations, ///< Availability zones are evacuated for a while.
 };
 
 class World {
@@ -83,21 +85,21 @@
   int64_t Starts = 0;
   int64_t Takeovers = 0;
   int64_t Crashes = 0;
-  int64_t GivenUp = 0; ///< Jobs that failed for the crashes under a task.
+  int64_t GivenUp = 0; ///< Jobs that failed because a task crashed its workers.
   std::vector<std::string> Violations;
 
   void play(int64_t Count) {
     for (int64_t I = 0; I < Count && Violations.empty(); ++I)
       step(true);
     FaultsOver = true;
-    if (InjectsEvacuations) { // what no zone has room for waits until it is taken back
+    if (InjectsEvacuations) { // else jobs that fit in no other zone would never end
       EvacuatedSince.clear();
       Zones = {{}, ++Revision};
       evacuate(Current->Cell, Zones);
     }
-    // Everything that was accepted ends once the troubles are over.
+    // Every accepted job must end once the faults are over.
     for (int I = 0; I < 400000 && Violations.empty() && unfinished() > 0; ++I) {
-      // Now and then a new box: advice may have been against all the others.
+      // Add boxes now and then, as advice may have excluded all others.
       if (I % 20000 == 0)
         for (int Pool = 0; Pool < 3; ++Pool)
           addBox("r0");
@@ -157,7 +159,7 @@
 
   const StepSpec &specOf(const StepKey &Key) { return Store.at(Key.Job).Spec->Steps.at(Key.Step); }
 
-  // Operators want one zone empty, or take that back. Schedulers hear of it a little later.
+  // Evacuates one zone or none. Schedulers learn of it a little later.
   void changeZones() {
     EvacuatedZones Next{{}, ++Revision};
     const int64_t Which = std::uniform_int_distribution<int64_t>(0, 5)(ScenarioRandom);
@@ -176,7 +178,7 @@
               [Of, Next] { evacuate(Of->Cell, Next); });
   }
 
-  // An order, as it leaves its scheduler; it may be carried out long after.
+  // Checks a start order when it is sent; it may be carried out much later.
   void checkOrder(const Effects::Start &Order) {
     constexpr Milliseconds PropagationLimit{450};
     const auto To = Boxes.find(Order.Worker);
@@ -186,7 +188,7 @@
       addViolation("EVAC", Order.Run);
   }
 
-  // The rules, from the world's own records.
+  // Checks the invariants at the start of a run.
   void checkStart(Box &On, const RunKey &Run) {
     ++Starts;
     const StoredJob &Of = Store.at(Run.Task.Step.Job);
@@ -230,13 +232,13 @@
       wakeGang(Run);
   }
 
-  // One task in thirty crashes each worker that begins it.
+  // One task in 30 crashes each worker that starts it.
   bool isCrasher(const TaskKey &Task) const {
     constexpr uint64_t OneIn = 30;
     return InjectsCrashes && std::hash<std::string>()(toString(Task)) % OneIn == 0;
   }
 
-  // What the crash of a worker means for each task there, as the world knows it.
+  // Records the crash of a worker for each task that was really there.
   void noteCrash(const Box &Which) {
     for (const auto &[Run, What] : Which.Model.Runs) {
       ++CrashesUnder[Run.Task];
@@ -246,13 +248,12 @@
     }
   }
 
-  // A worker's capacity shrinks to a half or is whole again, which schedulers hear of a little
-  // later.
+  // Sets a worker's capacity to half or to full. Schedulers learn of it a little later.
   void resizeOne() {
     const auto Draw = [this](int64_t Most) {
       return std::uniform_int_distribution<int64_t>(0, Most)(ScenarioRandom);
     };
-    constexpr Milliseconds PropagationLimit{4500}; // the operators' time out and one check-in
+    constexpr Milliseconds PropagationLimit{4500}; // the operators' timeout plus one check-in
     const auto Which =
         std::next(Boxes.begin(), Draw(static_cast<int64_t>(Boxes.size()) - 1))->second;
     if (Which->Dead)
@@ -270,8 +271,8 @@
     });
   }
 
-  // The worker is gone; its entry lapses, and another life comes in its place. The draws are apart
-  // from the others, so that worlds without such tasks stay as they are.
+  // The worker dies, is unlisted and then replaced. The draws come from a generator of their own,
+  // so that other scenarios keep their sequences.
   void crashBox(Box &Which, const TaskKey &By) {
     const auto Draw = [this](int64_t Least, int64_t Most) {
       return Milliseconds(std::uniform_int_distribution<int64_t>(Least, Most)(ScenarioRandom));
@@ -281,7 +282,7 @@
     noteCrash(Which);
     Which.Dead = Which.Crashed = true;
     Which.Model.Runs.clear();
-    // Its connections end at once, or it says nothing.
+    // Its connections are closed at once, or calls to it time out.
     constexpr int64_t SilentOneIn = 4;
     Which.RefusesConnections = Draw(1, SilentOneIn) > 1ms;
     if (Which.RefusesConnections)
@@ -300,8 +301,8 @@
     });
   }
 
-  // What an organisation has running on all boxes that live, against the highest maximum that some
-  // scheduler may still go by. No allowance.
+  // Checks what an organisation has running on all live boxes against the highest maximum that some
+  // scheduler may still apply.
   void checkQuota(const JobSpec &Spec, const RunKey &Run) {
     if (Spec.Organisation.empty())
       return;
@@ -318,7 +319,7 @@
       addViolation("QUOTA", Run);
   }
 
-  // Another configuration, which the scheduler reads a little later. A deposed one does not.
+  // Changes the maxima of organisations. Only the current scheduler reads them, a little later.
   void changeQuota() {
     for (const char *Name : {"north", "south"}) {
       auto &Known = QuotaHistory[Name];
@@ -329,7 +330,8 @@
     ++ConfigVersion;
     if (Current)
       after(Milliseconds(upTo(500)), [this, To = Current, Config = configuration()] {
-        if (To == Current && Config.Version == ConfigVersion) // versions never go back
+        // An older version must not follow a newer one.
+        if (To == Current && Config.Version == ConfigVersion)
           applyConfiguration(To->Cell, Config);
       });
   }
@@ -343,7 +345,7 @@
     return Config;
   }
 
-  // A gang works from the moment when all its members are there.
+  // A gang starts its work when all its members are there.
   void wakeGang(const RunKey &Run) {
     std::vector<WorkerModel::Run *> Members;
     for (const auto &[Id, Other] : Boxes)
@@ -366,7 +368,7 @@
           ActuallyDone.insert({Run.Task.Step, I});
     if (!Step.Gang)
       return;
-    // The others learn of it a little later.
+    // The other members end a little later.
     after(5ms, [this, Run, How] {
       for (const auto &[Id, Other] : Boxes) {
         std::vector<RunKey> GangRuns;
@@ -385,7 +387,7 @@
                          " ms: " + toString(Run.Task) + " run " + std::to_string(Run.Run));
   }
 
-  // The process around the decisions.
+  // The scheduler process.
 
   void apply(const ProcessPtr &Of, Effects &Out) {
     if (Out.Deposed)
@@ -456,7 +458,7 @@
     const Milliseconds Delay(How == CallOutcome::Late ? 2000 + upTo(10000) : 1 + upTo(10));
     after(Delay, [this, Of, To, Seen, How, Id = Order.Worker] {
       StartResult What = StartResult::Unknown;
-      // An unhealthy worker does nothing and says so.
+      // A worker may refuse as busy.
       if (How == CallOutcome::Delivered && !FaultsOver && chance(0.1))
         What = StartResult::RefusedUnhealthy;
       else if (How != CallOutcome::Lost && !To->Dead)
@@ -526,7 +528,7 @@
     });
   }
 
-  // Asks the worker what it holds. Ends it is told to forget have to be in the store.
+  // Requests a report from the worker. The ends that it is told to forget must be saved.
   void requestReport(const ProcessPtr &Of, const std::string &Id) {
     const auto Found = Boxes.find(Id);
     const auto Known = Of->Cell.Workers.find(Id);
@@ -558,7 +560,7 @@
         if (Of->HasEnded)
           return;
         Effects Out;
-        // A new life at the same place says so at once.
+        // A new incarnation at the same address says so at once.
         if (To->Crashed ? To->IsReplaced : To->Dead && chance(0.5))
           workerEnded(Of->Cell, Id, steady(), Out);
         else
@@ -599,7 +601,7 @@
         if (Step.Gang || I == End.Run.Task.Index)
           ForgottenDone.insert({End.Run.Task.Step, I});
       if (!isDurable(End.Run.Task))
-        addViolation("an end was let go before it was saved", End.Run);
+        addViolation("an end was forgotten before it was saved", End.Run);
     }
   }
 
@@ -615,8 +617,8 @@
     return false;
   }
 
-  // Saves jobs one by one, an end also beside progress that is under way; an answer may be lost and
-  // the save done or not.
+  // Saves one job at a time, its end also while a save of its progress is in progress. The answer
+  // may be lost, whether or not the save was applied.
   void save(const ProcessPtr &Of) {
     if (Of->HasEnded || Of->Cell.PendingSaves.empty())
       return;
@@ -646,7 +648,7 @@
         return;
       }
       StoredJob &Row = Store.at(Id);
-      // Progress does not pass the condition on a job whose end is written.
+      // The store rejects progress of a job whose end is written.
       const bool Refused = Phase == JobPhase::Live && Row.Phase != JobPhase::Live;
       if (IsApplied && Row.Phase == JobPhase::Live) {
         if (Phase == JobPhase::Failed)
@@ -664,7 +666,8 @@
     });
   }
 
-  // A job may fail for as many failures of a task as are allowed, or for two crashes under one.
+  // A job may fail only for the allowed number of failures of one task, or for two crashes under
+  // one.
   void checkFailure(const JobSpec &Spec) {
     for (const auto &[Task, Count] : ActualFailures)
       if (Task.Step.Job == Spec.Id && Count >= Spec.MaxAttempts)
@@ -677,7 +680,7 @@
     addViolation("LOST (failed without cause)", {{{Spec.Id, 0, 0}, 0}, 0});
   }
 
-  // A new scheduler; the old one may go on for a while without knowing.
+  // Starts a new scheduler. The old one may go on for a while.
   void takeOver() {
     ++Takeovers;
     if (Current)
@@ -698,7 +701,7 @@
         workerListed(Cell, Entry->Info, steady());
       WorkerInfo Noted = Entry->Info;
       if (chance(0.2))
-        Noted.Capacity = {}; // a record of an earlier version
+        Noted.Capacity = {}; // as in records of earlier versions
       if (Records.count(Id))
         workerMayHoldRuns(Cell, Noted, leaseEnd() + 4000ms);
     }
@@ -709,7 +712,7 @@
         for (const auto &[Key, Tasks] : value(Saved))
           restoreStep(Cell, Key, Tasks);
       }
-    // As the product does; the other kinds of world were drawn without it, and their seeds stay.
+    // As in production. Other scenarios omit it so that their seeds keep their sequences.
     if (InjectsEvacuations)
       for (const auto &[Id, Row] : Store)
         if (Row.Phase != JobPhase::Live)
@@ -786,7 +789,7 @@
       return;
     if (chance(0.5))
       return removeBox(*Which);
-    // It says that it leaves, and does.
+    // It announces that it leaves, then leaves.
     Which->Info.Draining = true;
     Which->Info.DrainTimeLeft = Milliseconds(upTo(2000));
     if (!Current->HasEnded)
@@ -852,7 +855,7 @@
       runSchedulers();
   }
 
-  // Workers are noted before their first use; the records of those let go of are removed.
+  // Records workers before their first use, and removes the records of workers that were dropped.
   void updateRecords(Process &Of) {
     if (StoreTerm != Of.Cell.Fence)
       return;
@@ -863,7 +866,7 @@
     std::erase_if(Records, [&](const std::string &Id) { return !Of.Cell.Workers.count(Id); });
   }
 
-  // The entry of a worker that lives lapses for a while.
+  // Unlists a live worker for a while.
   void unlistOne() {
     const auto Which =
         std::next(Boxes.begin(), upTo(static_cast<int64_t>(Boxes.size()) - 1))->second;
@@ -876,7 +879,7 @@
     });
   }
 
-  // What each scheduler does by itself: tick, place, holds.
+  // Periodic work of each scheduler: tick, placement, report requests, saves.
   void runSchedulers() {
     for (const ProcessPtr &Of : {Current, Previous}) {
       if (!Of || Of->HasEnded)
@@ -921,7 +924,7 @@
   }
 
   std::mt19937_64 Random;
-  std::mt19937_64 ScenarioRandom; ///< Of crashes.
+  std::mt19937_64 ScenarioRandom; ///< For the scenario's own faults.
   const bool InjectsCrashes;
   const bool InjectsEvacuations;
   const Milliseconds StopTime;
@@ -931,32 +934,31 @@
   std::multimap<Milliseconds, std::function<void()>> PendingEvents;
   std::map<std::string, std::shared_ptr<Box>> Boxes;
   std::map<JobId, StoredJob> Store;
-  std::set<std::string> Records; ///< Workers that the store says may be in use.
+  std::set<std::string> Records; ///< Workers recorded in the store as used.
   uint64_t StoreTerm = 0;
   uint64_t Revision = 0;
   uint64_t LastJob = 0;
   int LastBox = 0;
   ProcessPtr Current;
   ProcessPtr Previous;
-  EvacuatedZones Zones;                               ///< As the store has them,
-  std::map<std::string, Milliseconds> EvacuatedSince; ///< and since when each of them is.
-  /// By organisation: what it may have running of each kind, and until when a scheduler may go by
-  /// it.
+  EvacuatedZones Zones;                               ///< Evacuated zones, as stored,
+  std::map<std::string, Milliseconds> EvacuatedSince; ///< and since when.
+  /// By organisation: its maxima, each with the time until which a scheduler may apply it.
   std::map<std::string, std::vector<std::pair<Milliseconds, int64_t>>> QuotaHistory;
   uint64_t ConfigVersion = 0;
   std::set<TaskKey> ActuallyDone;
   std::set<TaskKey> ForgottenDone;
   std::map<TaskKey, std::set<uint32_t>> ForgottenFailures;
-  std::map<TaskKey, int> ActualFailures; ///< Of a gang by its first task.
+  std::map<TaskKey, int> ActualFailures; ///< A gang's under its first task.
   std::map<TaskKey, int> CrashesBy;
-  std::map<TaskKey, int> CrashesUnder; ///< Whoever was to blame.
-  std::map<TaskKey, int> StartsAfter;  ///< The third crash.
-  /// A job whose counts are printed; 0: none.
+  std::map<TaskKey, int> CrashesUnder; ///< Whichever task caused them.
+  std::map<TaskKey, int> StartsAfter;  ///< Since the task's third crash.
+  /// Job whose crash counts are printed; 0: none.
   const JobId TracedJob = static_cast<JobId>(fromEnvironment("VALVESHELF_FUZZ_TRACE", 0));
 };
 
-// Worlds one after the other. A broken one does not end the series, so that a long run tells how
-// many of how many broke, and which.
+// Simulates worlds with consecutive seeds. A violation does not end the series, so that a long run
+// reports all seeds that fail.
 struct WorldSeries {
   static constexpr int64_t EventsPerWorld = 20000;
   int64_t Events = fromEnvironment("VALVESHELF_FUZZ_EVENTS", 0);
@@ -1001,7 +1003,7 @@
 }
 
 TEST(SchedulerFuzz, SeedsThatLoseAWorkerUnderAPlannedGang) {
-  // 5790: a worker died under a planned gang; the rest of the plan stayed booked for ever.
+  // The plans of the other members must not stay booked.
   for (const uint64_t Seed : {5790U}) {
     World One(Seed);
     One.play(20000);
@@ -1009,8 +1011,7 @@
   }
 }
 
-// A run of an ended job that was still there at a takeover was charged to nobody, since the worlds
-// did not load ended jobs.
+// A run of an ended job that is still there at a takeover must be charged to its organisation.
 TEST(SchedulerFuzz, SeedsWithRunsOfEndedJobsAtATakeover) {
   for (const uint64_t Seed : {1138U, 1362U}) {
     World One(Seed, Scenario::Evacuations);
@@ -1019,9 +1020,9 @@
   }
 }
 
-// A gang whose members' workers die for other reasons, four times in a row as it begins, is given
-// up with one true crash under a member: which of its runs were there when a worker went is not
-// known.
+// A gang whose workers die for other reasons at four consecutive startups must not be given up
+// after one real crash under a member: the scheduler does not know which runs were there at a
+// crash.
 TEST(SchedulerFuzz, SeedsThatGiveUpASoundGang) {
   for (const uint64_t Seed : {5023U, 6078U}) {
     World One(Seed, Scenario::Crashes);
@@ -1030,8 +1031,8 @@
   }
 }
 
-// Gangs whose runs had ended when their workers crashed, which nobody had heard: polls of these
-// worlds are 300 ms apart, and their estimates say nothing of the work.
+// Runs of gangs that had ended, unreported, when their workers crashed must not be counted. Reports
+// in these worlds are 300 ms apart, and estimates are unrelated to run times.
 TEST(SchedulerFuzz, SeedsThatCountRunsWhoseEndsWereUnheard) {
   for (const uint64_t Seed : {532U, 100213U, 100301U, 200461U, 400350U, 720015U}) {
     World One(Seed, Scenario::Crashes);
@@ -1040,8 +1041,8 @@
   }
 }
 
-// Two crashes under a task, each followed by a takeover before it was saved: at its first start
-// nothing of a task is kept, so that both count for nothing.
+// Two crashes under a task, each followed by a takeover before it is saved, are not counted:
+// nothing about a task is stored before its first start.
 TEST(SchedulerFuzz, SeedsThatLoseTwoFirstCrashesToTakeovers) {
   for (const uint64_t Seed : {589U, 100534U, 300047U, 400275U}) {
     World One(Seed, Scenario::Crashes);
