--- a/testsuite/replay/crash_scene.h
+++ b/testsuite/replay/crash_scene.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// A cell whose workers crash, fall silent, come back and refuse as a test says, and whose scheduler
-// is replaced by another that goes on from what the store has.
+// A test fixture: a cell whose workers crash, fall silent, return or refuse starts as the test
+// says, and whose scheduler can be replaced by one that restores the state in the store.
 #pragma once
 
 #include "replay/placement_scene.h"
@@ -14,10 +14,10 @@
 #include <set>
 
 namespace valveshelf::sched {
-// A worker's lease as the process reckons it.
+// The time after which the scheduler takes a worker's lease to have expired.
 inline constexpr Milliseconds Lease{6500};
 
-/// Every order is answered at once, unless its worker is silent or refuses.
+/// Every order is answered at once unless its worker is silent or refuses starts.
 class CrashScene {
 public:
   explicit CrashScene(int Workers) {
@@ -45,7 +45,7 @@
     report(Id);
   }
 
-  // The worker does not do what it is told from now on, and says so.
+  // The worker answers starts with RefusedBusy from now on, or accepts them again.
   void refuseStarts(const std::string &Id, bool Refuses = true) {
     if (Refuses)
       Refusing.insert(Id);
@@ -68,7 +68,7 @@
     return Spec->Id;
   }
 
-  // What the worker says of itself: the runs that are there, and ends that are new.
+  // Delivers a report of the worker: its active runs, and \p Ends as new ends.
   void report(const std::string &Id, const std::vector<std::pair<RunKey, RunOutcome>> &Ends = {}) {
     WorkerReport Report;
     for (const auto &[Run, How] : Ends) {
@@ -83,7 +83,8 @@
     apply(Out);
   }
 
-  // Time passes in ticks, with a pass of placement each; workers that live answer every 100 ms.
+  // Advances the clock in ticks of 10 ms, each with a placement pass. Workers report every 100 ms
+  // unless they are silent.
   void advance(Milliseconds Time) {
     for (Milliseconds T{0}; T < Time; T += Milliseconds(10)) {
       Now += Milliseconds(10);
@@ -103,7 +104,7 @@
     }
   }
 
-  // Orders are carried out and answered.
+  // Carries out and answers orders.
   void apply(Effects &Out) {
     for (const Effects::Start &Order : std::vector(Out.Starts)) {
       Started.push_back(Order);
@@ -128,7 +129,7 @@
     LostRuns.insert(LostRuns.end(), Out.LostRuns.begin(), Out.LostRuns.end());
   }
 
-  // The worker crashes 10 ms from now; its entry lapses, and another life begins in its place.
+  // The worker crashes in 10 ms. It is unlisted after UnlistDelay, and replaced after RestartDelay.
   void scheduleCrash(const std::string &Id) {
     ScheduledEvents.emplace(Now + Milliseconds(10), [this, Id] { fallSilent(Id); });
     ScheduledEvents.emplace(Now + UnlistDelay, [this, Id] { workerUnlisted(Cell, Id, Now); });
@@ -146,7 +147,7 @@
     workerSilent(Cell, Id);
   }
 
-  // Another life answers at the worker's address.
+  // Another incarnation answers at the worker's address.
   void replace(const std::string &Id) {
     const uint16_t Port = Ports.at(Id);
     removeWorker(Id);
@@ -156,21 +157,21 @@
     addWorker("life" + std::to_string(++LastIncarnation), Port);
   }
 
-  // The worker crashes \p After it began what was started last, and is back after a while.
+  // The worker crashes now and is replaced after \p RestartDelay.
   void crash(const std::string &Id, Milliseconds RestartDelay = Milliseconds(3000)) {
     fallSilent(Id);
     advance(RestartDelay);
     replace(Id);
   }
 
-  // Until the job's first task runs; false: it does not.
+  // Advances until the job's first task runs. False if it does not within \p Most.
   bool advanceUntilRuns(JobId Id, Milliseconds Most = Milliseconds(3000)) {
     for (Milliseconds T{0}; T < Most && workerOf(Id).empty(); T += Milliseconds(10))
       advance(Milliseconds(10));
     return !workerOf(Id).empty();
   }
 
-  // The members of a gang that is not whole any more end.
+  // Reports all runs on the worker as ended, as members of a broken gang end.
   void endRunsAsBroken(const std::string &Id) {
     std::vector<std::pair<RunKey, RunOutcome>> Ends;
     for (const RunKey &Run : ActiveRuns[Id])
@@ -178,7 +179,8 @@
     report(Id, Ends);
   }
 
-  // Another scheduler goes on from what the store has; workers that answer are asked at once.
+  // Replaces the scheduler by one that restores the stored state. Workers that are not silent
+  // report to it at once.
   void takeOver() {
     CellState Next;
     Next.WallAt = Now;
@@ -230,7 +232,7 @@
     }
   }
 
-  // Where a task of the job runs; empty: nowhere.
+  // The worker on which a task of the job runs; empty if it does not run.
   std::string workerOf(JobId Id, uint32_t Index = 0) const {
     const auto Found = Cell.Jobs.find(Id);
     if (Found == Cell.Jobs.end())
@@ -252,18 +254,18 @@
   std::vector<Effects::Start> Started;
   std::vector<Effects::LostRun> LostRuns;
   std::map<JobId, JobSpecPtr> Specs;
-  std::map<JobId, std::string> Progress; ///< As the store has it.
+  std::map<JobId, std::string> Progress; ///< As stored.
   std::map<JobId, JobPhase> Ended;
-  std::map<std::string, uint16_t> Ports; ///< Of the workers that are there.
+  std::map<std::string, uint16_t> Ports; ///< Of the workers that have not been removed.
   std::map<std::string, std::set<RunKey>> ActiveRuns;
   std::set<std::string> Silent;
-  std::set<std::string> Refusing; ///< Workers that refuse all starts.
-  std::set<JobId> CrashingJobs;   ///< Jobs whose tasks crash their workers as they begin.
+  std::set<std::string> Refusing;
+  std::set<JobId> CrashingJobs; ///< Jobs whose tasks crash their workers at startup.
   Milliseconds UnlistDelay{4500};
   Milliseconds RestartDelay{3000};
   std::multimap<TimePoint, std::function<void()>> ScheduledEvents;
-  int ReportedPercent = 50;   ///< Of each run, as its worker says.
-  bool StoreAvailable = true; ///< The store takes saves.
+  int ReportedPercent = 50;   ///< Progress of each run in reports.
+  bool StoreAvailable = true; ///< If false, nothing is saved.
 
 private:
   std::map<std::string, uint64_t> LastEndNumbers;
--- a/testsuite/replay/load_replay.cpp
+++ b/testsuite/replay/load_replay.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-// The models around the decisions, and the loop over their events.
+// The simulated workers, advice service and store, and the event loop.
 #include "replay/load_replay.h"
 
 #include <algorithm>
 
 namespace valveshelf::sched {
 namespace {
-// As in the scheduler's process: events that come together are placed together.
+// As in the scheduler process: one placement pass for events that arrive together.
 constexpr Milliseconds PassDelay{2};
 constexpr Milliseconds TickInterval{50};
 } // namespace
@@ -144,7 +144,7 @@
 void LoadReplay::beginWork(const RunKey &Key, Milliseconds Time, RunOutcome How) {
   const auto Found = Runs.find(Key);
   if (Found == Runs.end())
-    return; // it was broken meanwhile
+    return; // its gang was broken meanwhile
   Found->second.WorkStartedAt = Now;
   Found->second.TotalTime = Time;
   after(Time, [this, Key, How] { endRun(Key, How); });
@@ -163,7 +163,7 @@
   return Report;
 }
 
-// A member that fails breaks the others of its run.
+// A gang member that ends without being done breaks the other members of its run.
 void LoadReplay::endRun(const RunKey &Key, RunOutcome How) {
   const auto Found = Runs.find(Key);
   if (Found == Runs.end())
@@ -186,7 +186,7 @@
             [this, Broken = Other] { endRun(Broken, RunOutcome::GangBroken); });
 }
 
-// The most urgent question first, and of those the oldest.
+// Most urgent request first, then the oldest.
 void LoadReplay::dispatchQuestions() {
   while (LanesInUse + Setting.DeadLanes < Setting.Lanes && !Questions.empty()) {
     const auto Next =
@@ -214,7 +214,7 @@
   placeSoon();
 }
 
-// A store that answers at once.
+// The store confirms each save at once.
 void LoadReplay::saveAll() {
   while (!Cell.PendingSaves.empty()) {
     const auto [Number, Id] = *Cell.PendingSaves.begin();
--- a/testsuite/replay/load_replay.h
+++ b/testsuite/replay/load_replay.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Plays a load against the scheduler's decisions alone: no connections, no processes, and a clock
-// that jumps from event to event. Workers, the advice service and the store are simple models, so
-// that a run says what the decisions do with a load and repeats exactly.
+// A discrete-event simulation of the scheduler's decisions under a load: no connections, no
+// processes, and a clock that jumps from event to event. Workers, the advice service and the store
+// are simple models, so that runs are deterministic.
 #pragma once
 
 #include "valveshelf/cell_state.h"
@@ -15,53 +15,53 @@
 
 namespace valveshelf::sched {
 
-/// What the cell around the decisions is like.
+/// The simulated cell.
 struct ReplaySetting {
   int Workers = 100;
   Resources WorkerSize{64000, 262144, 0};
-  uint32_t Lanes = 100;         ///< Questions that can be asked at a time, as the cell knows it;
-  uint32_t DeadLanes = 0;       ///< so many of them get no answer any more and are left out.
-  Milliseconds OrderLatency{2}; ///< From an order to its answer.
-  Milliseconds TicketLifetime{1500}; ///< How long a ticket holds.
-  Milliseconds FaultyRunTime{20};    ///< A run on a sick worker fails after this time.
+  uint32_t Lanes = 100;              ///< Concurrent advice requests that the scheduler assumes,
+  uint32_t DeadLanes = 0;            ///< of which this many never answer and are not used.
+  Milliseconds OrderLatency{2};      ///< From an order to its answer.
+  Milliseconds TicketLifetime{1500}; ///< How long a ticket is valid.
+  Milliseconds FaultyRunTime{20};    ///< A run on a faulty worker fails after this time.
   uint64_t Seed = 1;
 };
 
-/// A kind of work that is handed in.
+/// A kind of job.
 struct ReplayKind {
   int Priority = 0;
   StepSpec Step;
   double CriticalPathFactor = 2;
   Milliseconds Target{1000};
-  double EligibleShare = 1; ///< Part of the workers that advice lets a step run on.
+  double EligibleShare = 1; ///< Fraction of the workers for which advice allows the step.
   Milliseconds AdviceBaseTime{0};
   double AdvicePerWorkerMs = 0;
-  std::string Organisation; ///< Empty: nobody's.
+  std::string Organisation; ///< Empty: none.
 };
 
-/// What became of one job.
+/// The outcome of one job.
 struct ReplayedJob {
   std::string Kind;
   TimePoint SubmittedAt{};
-  TimePoint FirstStart{}; ///< When the first order was confirmed; zero: never.
+  TimePoint FirstStart{}; ///< When the first start was confirmed; zero: never.
   TimePoint Ended{};
   JobPhase Phase = JobPhase::Live;
   TimePoint Objective{};
-  uint32_t Stops = 0;    ///< Runs that were stopped by order.
-  uint32_t Failures = 0; ///< Runs that failed.
+  uint32_t Stops = 0; ///< Stop orders.
+  uint32_t Failures = 0;
   uint32_t Questions = 0;
 };
 
 class LoadReplay {
 public:
   explicit LoadReplay(ReplaySetting Setting);
-  /// Hands in one job of \p Kind at \p At after the start; its name is for the results only.
+  /// Submits one job of \p Kind at \p At from the start. \p Name identifies it in the results.
   void submit(Milliseconds At, const std::string &Name, const ReplayKind &Kind);
-  /// What organisations may have and hand in.
+  /// Sets the quotas and shares of organisations.
   void configure(const CellConfiguration &Config) { applyConfiguration(Cell, Config); }
-  /// From \p At until \p Until all runs on \p Count workers fail at once.
+  /// From \p At until \p Until all runs on \p Count random workers fail after FaultyRunTime.
   void makeFaulty(Milliseconds At, Milliseconds Until, int Count);
-  /// Plays until \p At after the start.
+  /// Runs the simulation until \p At from the start.
   void runUntil(Milliseconds At);
 
   std::vector<ReplayedJob> jobs(const std::string &Kind) const;
@@ -70,8 +70,8 @@
 private:
   struct Run {
     std::string Worker;
-    TimePoint WorkStartedAt{}; ///< When its work began; zero: it waits for its gang.
-    Milliseconds TotalTime{0}; ///< That its work takes.
+    TimePoint WorkStartedAt{}; ///< Zero while it waits for its gang.
+    Milliseconds TotalTime{0}; ///< Duration of its work.
   };
   void after(Milliseconds Time, std::function<void()> What);
   void placeSoon();
@@ -91,14 +91,14 @@
   TimePoint Now = ReplayStart;
   uint64_t LastEvent = 0;
   std::map<std::pair<TimePoint, uint64_t>, std::function<void()>> Events;
-  std::map<RunKey, Run> Runs; ///< At work or waiting for the rest of their gang.
-  std::map<std::pair<StepKey, uint32_t>, std::set<uint32_t>>
-      StartedMembers;                             ///< Members of gang runs.
-  std::map<TaskKey, Milliseconds> SavedWork;      ///< Work that stopped runs have saved.
+  std::map<RunKey, Run> Runs; ///< Working, or waiting for their gang.
+  /// By gang run: the members that have started.
+  std::map<std::pair<StepKey, uint32_t>, std::set<uint32_t>> StartedMembers;
+  std::map<TaskKey, Milliseconds> SavedWork;      ///< Progress saved by stopped runs.
   std::map<std::string, uint64_t> LastEndNumbers; ///< By worker.
   std::map<JobId, ReplayKind> Kinds;
   std::map<JobId, ReplayedJob> Results;
-  /// Waiting, each with what decides which is asked first: whether it is late, and its priority.
+  /// Pending advice requests, each with its sort key: whether it is late, and its priority.
   std::vector<std::pair<std::pair<bool, int>, Effects::AdviceRequest>> Questions;
   uint32_t LanesInUse = 0;
   std::map<std::string, std::pair<TimePoint, TimePoint>> FaultyPeriods;
@@ -107,11 +107,11 @@
   uint64_t Revision = 0;
 };
 
-/// The value at \p Part (0 to 1) of \p Values by size; zero if there are none.
+/// The \p Fraction quantile (0 to 1) of \p Values; zero if there are none.
 Milliseconds quantile(std::vector<Milliseconds> Values, double Fraction);
-/// From handing in to the first start of each job that was started.
+/// Time from submission to first start, for each job that was started.
 std::vector<Milliseconds> startDelays(const std::vector<ReplayedJob> &Jobs);
-/// Jobs that were complete by their objective.
+/// Number of jobs that were complete by their objective.
 size_t countInTime(const std::vector<ReplayedJob> &Jobs);
 
 } // namespace valveshelf::sched
--- a/testsuite/replay/load_replay_test.cpp
+++ b/testsuite/replay/load_replay_test.cpp
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Loads at their worst, played against the decisions: how work waits, is placed and is thrown away.
-// Each load has the shape of one that a large fleet of the users met; the bounds lie between what
-// the decisions did before they were changed for it and what they do since.
+// Simulated peak loads: bounds on start delays, missed objectives and failed jobs. Each load has
+// the shape of one that a large fleet met, and guards against a regression of its handling.
 #include "replay/load_replay.h"
 
 #include <gtest/gtest.h>
@@ -19,10 +18,10 @@
   return Step;
 }
 
-// A quarter of the workers may run a gang; a question about a hundred takes 1.46 s.
+// Advice allows a gang on a quarter of the workers; a request about 100 workers takes 1.46 s.
 ReplayKind rebuild(uint32_t Count) { return {1, gangOf(Count), 2.2, 1000ms, 0.25, 600ms, 8.6}; }
 
-// Checks of a few large tasks, seven tenths of the workers may run them.
+// A few large, urgent tasks, allowed on 70 % of the workers.
 ReplayKind quickCheck() {
   StepSpec Step;
   Step.Count = 4;
@@ -31,7 +30,7 @@
   return {0, Step, 1.5, 250ms, 0.7, 11ms, 0.16};
 }
 
-// Scans that save their progress, for slightly under half of the workers.
+// Tasks that save checkpoints, allowed on 45 % of the workers.
 ReplayKind scan(uint32_t Count) {
   StepSpec Step;
   Step.Count = Count;
@@ -41,8 +40,8 @@
   return {2, Step, 4, 3000ms, 0.45, 140ms, 2.0};
 }
 
-// A wave of large gangs on a fleet that is mostly free: each needs two to four hundred workers to
-// be asked about.
+// A wave of large gangs on a mostly idle fleet: each needs advice about hundreds of workers, which
+// must not be requested one batch after the other.
 TEST(LoadReplay, LargeGangsAskForAdviceConcurrently) {
   ReplaySetting Setting;
   Setting.Workers = 800;
@@ -56,8 +55,8 @@
   EXPECT_EQ(countInTime(Jobs), Jobs.size());
 }
 
-// One worker in ten fails all that it is given, within 20 ms, on a fleet that is nearly full. Three
-// failures of a task end its job; returns how many ended so.
+// One worker in ten fails every run within 20 ms, on a nearly full fleet. A job fails with the
+// third failure of a task; returns the number of failed jobs.
 size_t failedJobsBesideFaultyWorkers(uint64_t Seed) {
   ReplaySetting Setting;
   Setting.Workers = 200;
@@ -79,7 +78,7 @@
   return Failed;
 }
 
-// A task may still meet three different sick workers, which takes it one job in four hundred.
+// A task may still meet three different faulty workers; the bound allows for a few such jobs.
 TEST(LoadReplay, ATaskIsNotRetriedOnTheWorkerThatFailedIt) {
   size_t Failed = 0;
   for (const uint64_t Seed : {1, 2, 3, 4})
@@ -87,9 +86,8 @@
   EXPECT_LE(Failed, 5u);
 }
 
-// For 15 s half as much again is asked for as the fleet can do, and only one question in a third of
-// what it needs can be asked at a time; then the load is half of it. Scans and rebuilds of the bad
-// time are late and still wait.
+// For 15 s the load is 1.5 times the capacity of the fleet, with a third of the advice lanes that
+// it needs; then it halves. The late backlog must not take the lanes from new jobs.
 TEST(LoadReplay, ABacklogDoesNotDelayTheAdviceForNewWork) {
   ReplaySetting Setting;
   Setting.Workers = 300;
@@ -110,8 +108,8 @@
   EXPECT_GE(countInTime(Given.jobs("old-scan")), 28u);
 }
 
-// Wide scans and rebuilds that were handed in while the fleet was full, all late, on a fleet of
-// small workers that is empty now, with 30 questions at a time. Returns when the last one ended.
+// A backlog of late scans and rebuilds on an idle fleet of small workers with 30 advice lanes.
+// Returns the time from the first submission to the last end.
 Milliseconds drainTime(uint32_t DeadLanes, int Scans, int Rebuilds) {
   ReplaySetting Setting;
   Setting.Workers = 350;
@@ -145,16 +143,17 @@
   return std::chrono::duration_cast<Milliseconds>(Last - First);
 }
 
-// Room alone would take 8 s: 43,300 core-seconds on 5,600 cores.
+// The ideal time is 8 s: 43,300 core-seconds on 5,600 cores.
 TEST(LoadReplay, ABacklogOnAnIdleFleetDrainsInTwiceTheIdealTime) {
   EXPECT_LT(drainTime(0, 150, 60), 16s);
 }
 
-// Two thirds of the boxes are cut off from the advice service, and nobody has noticed yet.
+// Two thirds of the advice lanes do not answer, which the scheduler has not noticed.
 TEST(LoadReplay, ABacklogDrainsThroughTheLanesThatAnswer) { EXPECT_LT(drainTime(20, 60, 20), 12s); }
 
-// One organisation hands in five times its share, which is more than the fleet can do; another one
-// stays within its own. Ordered by objective alone, the second waited behind the first.
+// One organisation submits five times its share, more than the fleet can do; another stays within
+// its share and must not wait behind the first, as it would if jobs were ordered by objective
+// alone.
 TEST(LoadReplay, WorkBeyondAShareDoesNotDelayOtherOrganisations) {
   ReplaySetting Setting;
   Setting.WorkerSize = {16000, 32768, 0};
@@ -174,11 +173,11 @@
     Given.submit(Milliseconds(333 * I), "quiet", Scan);
   Given.runUntil(60s);
   EXPECT_EQ(countInTime(Given.jobs("quiet")), 60u);
-  EXPECT_GE(countInTime(Given.jobs("loud")), 80u) << "its share, at the least";
+  EXPECT_GE(countInTime(Given.jobs("loud")), 80u) << "fewer than its share";
 }
 
-// Scans that need 81 % of a fleet of small workers, beside quick checks of 3 %. With a fifth of
-// each worker kept for checks the scans could never have caught up.
+// Scans need 81 % of the fleet and urgent checks 3 %. With a fixed fifth of each worker reserved
+// for checks the scans would never catch up.
 TEST(LoadReplay, ScansUseTheRoomThatChecksDoNotNeed) {
   ReplaySetting Setting;
   Setting.WorkerSize = {16000, 32768, 0};
--- a/testsuite/replay/placement_scene.h
+++ b/testsuite/replay/placement_scene.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A cell for tests of single decisions of placement.
+// A test fixture: a cell in which tests make single placement decisions.
 #pragma once
 
 #include "valveshelf/cell_state.h"
@@ -11,7 +11,7 @@
 
 inline constexpr Resources WorkerSize{64000, 128000, 0};
 
-/// A loaded cell of workers, all heard.
+/// A loaded cell whose workers have all reported.
 class PlacementScene {
 public:
   explicit PlacementScene(int Workers) {
@@ -29,7 +29,7 @@
     workerReported(Cell, Id, {}, Now, Now, Out);
   }
 
-  // What the worker says of itself in the list.
+  // Lists the worker with this capacity.
   void listWorker(const std::string &Id, const Resources &Size) {
     WorkerInfo Info;
     Info.Id = Id;
@@ -38,7 +38,7 @@
     workerListed(Cell, Info, Now);
   }
 
-  // The objective is \p CriticalPathFactor times the estimate after now.
+  // The job's objective is \p CriticalPathFactor times the estimate from now.
   JobId submit(int Priority, StepSpec Step, double CriticalPathFactor, bool Advised = false,
                const std::string &Queue = "") {
     auto Spec = std::make_shared<JobSpec>();
@@ -55,7 +55,7 @@
     return LastJob;
   }
 
-  // One pass; all start orders are confirmed.
+  // Runs one placement pass and confirms all its start orders.
   Effects pass(Milliseconds Elapsed = Milliseconds(1)) {
     Effects Out;
     Now += Elapsed;
