--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -108,7 +108,7 @@
   Extra.StartedAt = Extra.PhaseSince = Now;
   On.Booked += Extra.Need;
   chargeAttempt(Extra, Of.Owner, Step->Spec->Need);
-  stopAttempt(Cell, On, Row.Run, "the task does not need it", Now, Out);
+  stopAttempt(Cell, On, Row.Run, "the task does not need this run", Now, Out);
 }
 
 void noteProgress(CellState &Cell, Worker &On, const ActiveRun &Row, Attempt &Entry,
