--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -47,8 +47,8 @@
   Milliseconds GangTimeout{3000};         ///< How long gang members wait for each other.
   Milliseconds MaxEarlyStart{250};        ///< A timed round may start so much before its time.
   Milliseconds EndedJobRetention{150000}; ///< How long the state of an ended job is kept.
-  double ClockDrift = 0.02;       ///< Largest relative error of a worker's clock.
-  Milliseconds LeaseMargin{300};  ///< Added to every lease before it counts as expired.
+  double ClockDrift = 0.02;               ///< Largest relative error of a worker's clock.
+  Milliseconds LeaseMargin{300};          ///< Added to every lease before it counts as expired.
   Milliseconds QuarantineTime{4000};      ///< How long a worker that fails everything gets no work.
   Milliseconds TicketMargin{120};         ///< A ticket is not used this close to its end.
   Milliseconds PlanTimeout{2500}; ///< A gang whose room is not free by then is planned anew.
@@ -65,7 +65,7 @@
   uint32_t MaxNewWorkersPerTick = 64;      ///< Most that are made ready in one tick.
   Milliseconds FailureAvoidanceTime{1000}; ///< A task that failed goes elsewhere for so long; a
                                            ///< worker that fails everything is set aside by then.
-  int MaxConsecutiveFailures = 3;      ///< A worker that failed so many runs in a row is set aside.
+  int MaxConsecutiveFailures = 3; ///< A worker that failed so many runs in a row is set aside.
   /// A task is given up after this many consecutive startup crashes if at least
   /// `MinConfirmedCrashes` of them are confirmed.
   uint32_t MaxStartupCrashes = 3;
@@ -73,8 +73,7 @@
   /// It is given up after this many even if none is confirmed.
   uint32_t MaxUnconfirmedCrashes = 4;
   /// The same, with an inherited start counted (`TaskState::InheritedStartWorker`).
-  uint32_t MaxCrashesWithInherited =
-      5;
+  uint32_t MaxCrashesWithInherited = 5;
   /// It is given up at this `TaskState::WeightedCrashes` unless its step is lasting.
   uint32_t MaxWeightedCrashes = 5;
   Milliseconds StartupTime{500}; ///< A run is in startup for this time after its start.
@@ -149,8 +148,7 @@
   std::map<RunKey, Attempt> Attempts;
   uint64_t LastEndNumber = 0; ///< Highest number of a processed end.
   /// Numbers of ends, each with that of the save that it waits for.
-  std::deque<std::pair<uint64_t, uint64_t>>
-      UnsavedEnds;
+  std::deque<std::pair<uint64_t, uint64_t>> UnsavedEnds;
   uint64_t ForgetThrough = 0; ///< Ends up to this number are saved; the worker may forget them.
   TimePoint LeaseEnd{};       ///< By then the worker has killed all its runs.
   int ConsecutiveFailures = 0;
@@ -188,14 +186,12 @@
   std::string Checkpoint;
   std::set<uint32_t> FailedRuns;
   /// An earlier scheduler may have started it on a worker that has not reported yet.
-  bool MayRunOnUnreportedWorker =
-      false;
+  bool MayRunOnUnreportedWorker = false;
   /// The previous scheduler may still start it on a worker that does not know this one yet.
   bool MayBeStartedByPredecessor = false;
   TimePoint NotBefore{};
   /// Consecutive workers that crashed, or are suspected to have crashed, during its startup.
-  uint32_t StartupCrashes =
-      0;
+  uint32_t StartupCrashes = 0;
   /// Of these, the workers whose crash is not confirmed.
   std::vector<std::string> SuspectWorkers;
   /// Of these, the workers that left the platform's list without notice. They count as crashed
@@ -210,9 +206,8 @@
   /// empty.
   std::string InheritedStartWorker;
   /// Number of the save of these fields; the task is not started before it is durable.
-  uint64_t CrashCountSave =
-      0;
-  bool HasStalled = false; ///< A run of it was stopped because it made no progress.
+  uint64_t CrashCountSave = 0;
+  bool HasStalled = false;          ///< A run of it was stopped because it made no progress.
   const Worker *FailedOn = nullptr; ///< Only compared; the worker may be gone.
   TimePoint FailedAt{};             ///< Time of its last failure.
 };
--- a/src/scheduler/crash_count_test.cpp
+++ b/src/scheduler/crash_count_test.cpp
@@ -201,8 +201,7 @@
   const JobId Id = submitCrashedOnce(Given);
   ASSERT_TRUE(Given.advanceUntilRuns(Id));
   // The order was lost, which this scheduler does not learn.
-  Given.ActiveRuns[Given.workerOf(Id)]
-      .clear();
+  Given.ActiveRuns[Given.workerOf(Id)].clear();
   Given.takeOver();
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -104,8 +104,7 @@
   if (!Task || Entry.Phase == AttemptPhase::Planned)
     return;
   // Saved with the next save of the job.
-  if (How == WorkerEnd::Replaced &&
-      wasRunningAtLoss(On, Entry, Now))
+  if (How == WorkerEnd::Replaced && wasRunningAtLoss(On, Entry, Now))
     Task->WeightedCrashes += Alone ? SoleRunCrashWeight : SharedCrashWeight;
   if (isInStartup(Entry) && wasInStartupAtLoss(On, Entry, Now))
     confirmCrash(Cell, Run.Task, On, How, Now, Out);
--- a/src/scheduler/crashes_test.cpp
+++ b/src/scheduler/crashes_test.cpp
@@ -57,7 +57,8 @@
   EXPECT_EQ(Crashes, 3);
   EXPECT_EQ(publicJobState(Given.Cell, CrashingJob), "failed");
   for (const JobId Id : Others)
-    EXPECT_EQ(Given.Cell.Jobs.at(Id).Phase, JobPhase::Live) << "a task that ran beside the crashing one was given up";
+    EXPECT_EQ(Given.Cell.Jobs.at(Id).Phase, JobPhase::Live)
+        << "a task that ran beside the crashing one was given up";
 }
 
 // Two tasks that may crash their workers are placed at the same time. On one worker they would hide
@@ -67,7 +68,8 @@
   const JobId First = Given.submit(tasks(1, 4000, 600ms));
   const JobId Second = Given.submit(tasks(1, 4000, 600ms));
   ASSERT_TRUE(Given.advanceUntilRuns(First));
-  ASSERT_EQ(Given.workerOf(First), Given.workerOf(Second)) << "tasks without a count share a worker";
+  ASSERT_EQ(Given.workerOf(First), Given.workerOf(Second))
+      << "tasks without a count share a worker";
   Given.crash(Given.workerOf(First));
   const JobId Third = Given.submit(tasks(6, 2000, 600ms));
   Given.advance(100ms);
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -71,7 +71,8 @@
   const Job &Of = In.Cell.Jobs.at(Step->Key.Job);
   if (Of.Phase == JobPhase::Live && hasPlaceElsewhere(In, Of, *Step, Step->Tasks[Run.Task.Index]))
     stopAttempt(In.Cell, On, Run,
-                On.InEvacuatedZone ? "its availability zone is being evacuated" : "its worker leaves",
+                On.InEvacuatedZone ? "its availability zone is being evacuated"
+                                   : "its worker leaves",
                 In.Now, In.Out);
 }
 } // namespace
