--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -458,7 +458,7 @@
     const Milliseconds Delay(How == CallOutcome::Late ? 2000 + upTo(10000) : 1 + upTo(10));
     after(Delay, [this, Of, To, Seen, How, Id = Order.Worker] {
       StartResult What = StartResult::Unknown;
-      // A worker may refuse as busy.
+      // A worker may refuse as unhealthy.
       if (How == CallOutcome::Delivered && !FaultsOver && chance(0.1))
         What = StartResult::RefusedUnhealthy;
       else if (How != CallOutcome::Lost && !To->Dead)
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -26,8 +26,9 @@
 // A run that fails within 1/EarlyFailureDivisor of its estimate counts as failed early, which
 // points to the worker: faults of the task itself occur anywhere in its run time.
 constexpr int EarlyFailureDivisor = 10;
-// No work is placed for this time on a worker that refused a start as busy or was not reachable.
-constexpr Milliseconds BusyBackoff{500};
+// No work is placed for this time on a worker that refused a start as unhealthy or was not
+// reachable.
+constexpr Milliseconds UnavailableBackoff{500};
 
 Worker *findWorker(CellState &Cell, const std::string &Id) {
   const auto Found = Cell.Workers.find(Id);
@@ -145,7 +146,7 @@
 }
 
 // Quarantines a worker after several consecutive failures, so that tasks don't use up their
-// attempts on it, and for a shorter time after one early failure. hasJustFailedOn keeps a task
+// attempts on it, and for a shorter time after one early failure. hasRecentlyFailedOn keeps a task
 // itself away from the worker that failed it.
 void updateQuarantine(CellState &Cell, Worker &On, const EndedRun &End, TimePoint Now) {
   if (End.Outcome == RunOutcome::Done)
@@ -215,7 +216,7 @@
       Used && Answer == StartResult::RefusedTicket)
     Used->ValidUntil = Now;
   if (Answer == StartResult::RefusedUnhealthy || Answer == StartResult::NotSent)
-    On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + BusyBackoff);
+    On.QuarantinedUntil = std::max(On.QuarantinedUntil, Now + UnavailableBackoff);
   if (Answer == StartResult::RefusedNoCapacity)
     Out.ReportRequests.push_back(On.Info.Id);
   noteNeverStarted(Cell, Run.Task, On, Out);
--- a/testsuite/replay/crash_scene.h
+++ b/testsuite/replay/crash_scene.h
@@ -45,7 +45,7 @@
     report(Id);
   }
 
-  // The worker answers starts with RefusedBusy from now on, or accepts them again.
+  // The worker refuses starts as unhealthy from now on, or accepts them again.
   void refuseStarts(const std::string &Id, bool Refuses = true) {
     if (Refuses)
       Refusing.insert(Id);
