--- a/src/include/valveshelf/job.h
+++ b/src/include/valveshelf/job.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Jobs and tasks as callers and records see them.
+// Jobs and tasks as they appear in callers' requests and in journal records.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -14,19 +14,19 @@
 
 namespace valveshelf {
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job are run.
 enum class JobKind {
-  Batch = 0,   ///< Tasks end by themselves, in any order.
-  Service = 1, ///< Tasks are kept running at the job's count.
-  Gang = 2,    ///< All tasks at once or none.
+  Batch = 0,   ///< Independent tasks that run to completion.
+  Service = 1, ///< The job's count of tasks is kept running.
+  Gang = 2,    ///< All tasks start together or none does.
 };
 
-/// Order of placement, best first.
+/// Placement order, highest priority first.
 enum class JobClass {
-  Urgent = 0,  ///< Starts within about a second.
+  Urgent = 0,  ///< To be started within about a second.
   Quick = 1,   ///< Quick checks and previews.
   Service = 2, ///< Long-running services.
-  Batch = 3,   ///< Everything that may wait, often with a time to finish by.
+  Batch = 3,   ///< Work that can wait, often with a deadline.
 };
 
 std::string_view kindName(JobKind Value);
@@ -36,15 +36,15 @@
 
 /// How a task ended.
 enum class TaskOutcome {
-  None = 0, ///< Not ended.
+  None = 0, ///< Not ended yet.
   Succeeded = 1,
-  Failed = 2, ///< Ran and failed, as often as allowed.
+  Failed = 2, ///< Failed on every allowed try.
   Cancelled = 3,
-  Unknown = 4, ///< Not to be repeated, and nobody can say whether it ran.
+  Unknown = 4, ///< Not repeatable, and it is not known whether it ran.
 };
 std::string_view outcomeName(TaskOutcome Value);
 
-/// What a caller asked for. Never changes after it was accepted, except the count of a service.
+/// A job as submitted by the caller. Immutable once accepted, except for the count of a service.
 struct JobSpec {
   std::string Id;
   std::string Partner;
@@ -52,18 +52,17 @@
   JobKind Kind = JobKind::Batch;
   JobClass Class = JobClass::Batch;
   uint32_t Count = 1;
-  Resources Size{1000, 512, 0}; ///< Of each task.
-  std::string BoxSelector;      ///< As written by the caller; checked to parse.
+  Resources Size{1000, 512, 0}; ///< Request of each task.
+  std::string BoxSelector;      ///< As written by the caller; valid for `parseSelector`.
   valveshelf::Labels Labels;
-  bool Repeatable = true;     ///< False: each task runs at most once.
-  Milliseconds RunTime{1000}; ///< Declared; often far off. No safety rests on it.
-  WallTime FinishBy{};        ///< Zero for none.
+  bool Repeatable = true;     ///< False: each task is run at most once.
+  Milliseconds RunTime{1000}; ///< Caller's estimate; never relied on for correctness.
+  WallTime FinishBy{};        ///< Deadline; zero: none.
   uint32_t MaxTries = 3;
   bool Checkpointable = false;
   WallTime Accepted{};
 };
 
-/// Names one task.
 struct TaskKey {
   std::string Job;
   uint32_t Index = 0;
@@ -73,14 +72,14 @@
   }
 };
 
-/// `job/index`.
+/// Formats as `job/index`.
 std::string toString(const TaskKey &Key);
 
-/// Reads a job from the caller's JSON. Returns BadRequest naming the field that is wrong.
-/// \p MaxTasks bounds the count.
+/// Parses a job from JSON. Returns BadRequest, naming the invalid field. \p MaxTasks is the upper
+/// limit of the count.
 Result<JobSpec> parseJob(std::string_view Json, uint32_t MaxTasks);
 
-/// The JSON that `parseJob` reads.
+/// Formats a job as the JSON that `parseJob` reads.
 std::string jobToJson(const JobSpec &Spec);
 
 } // namespace valveshelf
--- a/src/include/valveshelf/workload.h
+++ b/src/include/valveshelf/workload.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Jobs, steps, tasks and workers as the scheduler of a cell sees them: plain values, decoded once
-// from what callers and the platform say.
+// Value types of the scheduler of a cell: jobs, steps, tasks and workers, decoded from callers' and
+// the platform's messages.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -18,14 +18,15 @@
 
 namespace valveshelf::sched {
 
-/// The number that the caller chose for its job; written as 16 hexadecimal digits.
+/// Job number chosen by the caller; written as 16 hexadecimal digits.
 using JobId = uint64_t;
 
 std::string jobIdText(JobId Id);
-/// Empty if \p Text is not 16 hexadecimal digits.
+/// Returns nullopt if \p Text is not 16 hexadecimal digits.
 std::optional<JobId> parseJobId(std::string_view Text);
 
-/// One step of one round of a job. Rounds are the repetitions of a timed job; others have one.
+/// One step of one round of a job. Each repetition of a periodic job is a round; other jobs have
+/// one round.
 struct StepKey {
   JobId Job = 0;
   uint32_t Round = 0;
@@ -45,7 +46,7 @@
   }
 };
 
-/// One start of a task. Run numbers of a task rise.
+/// One start of a task. Run numbers of a task increase.
 struct RunKey {
   TaskKey Task;
   uint32_t Run = 0;
@@ -55,106 +56,106 @@
   }
 };
 
-/// JOB.ROUND.STEP and JOB.ROUND.STEP.INDEX, the form in which workers and the advice service
-/// name them.
+/// Formats as JOB.ROUND.STEP or JOB.ROUND.STEP.INDEX, the form used by workers and the advice
+/// service.
 std::string toString(const StepKey &Key);
 std::string toString(const TaskKey &Key);
 std::optional<TaskKey> parseTaskKey(std::string_view Text);
 
-/// A service outside valveshelf that says which workers may run the steps of a queue.
+/// Timing of the external advice service that selects the workers for the steps of a queue.
 struct AdvicePolicy {
-  std::chrono::duration<double, std::milli> BaseLatency{0}; ///< A call takes this long,
-  std::chrono::duration<double, std::milli> LatencyPerWorker{
-      0};                         ///< and this for each worker named.
-  Milliseconds TicketLifetime{0}; ///< How long a ticket holds.
+  std::chrono::duration<double, std::milli> BaseLatency{0}; ///< Fixed duration of a call.
+  /// Added for each worker in the call.
+  std::chrono::duration<double, std::milli> LatencyPerWorker{0};
+  Milliseconds TicketLifetime{0}; ///< Validity of a ticket.
   friend bool operator==(const AdvicePolicy &, const AdvicePolicy &) = default;
 };
 
-/// A queue of the operators' configuration.
+/// A queue in the operators' configuration.
 struct Queue {
   std::string Name;
   std::string Host;
   std::string PathPrefix;
-  std::string Service; ///< The pool of workers that runs its tasks.
-  int Priority = 0;    ///< 0 goes first.
-  int MaxAttempts = 1; ///< Failed runs of a task before its job fails.
-  double CriticalPathFactor =
-      1; ///< Part of the objective: a multiple of the longest chain of work.
-  Milliseconds ObjectiveSlack{}; ///< Part of the objective: added to it.
-  bool Public = false;           ///< Its callers need no key.
+  std::string Service;           ///< Pool of workers that runs its tasks.
+  int Priority = 0;              ///< 0 is the highest.
+  int MaxAttempts = 1;           ///< Failed runs of a task after which its job fails.
+  double CriticalPathFactor = 1; ///< The objective of a job is this multiple of its critical path,
+  Milliseconds ObjectiveSlack{}; ///< plus this time.
+  bool Public = false;           ///< Callers need no key.
   std::optional<AdvicePolicy> Advice;
 };
 
-/// An organisation whose callers hand work in, as the operators' configuration has it.
+/// An organisation (tenant) in the operators' configuration.
 struct Organisation {
   std::string Name;
-  std::vector<std::string> Keys; ///< Secrets of its callers; none: nobody may call for it.
-  double Weight = 0;             ///< Its share once the cell is full, in jobs a second; 0: none.
-  Resources Maximum; ///< What it may have running across all workers; 0 in a dimension: no limit.
+  std::vector<std::string> Keys; ///< API keys of its callers; empty: all calls are refused.
+  double Weight = 0;             ///< Share of a full cell, in jobs per second; 0: none.
+  Resources Maximum; ///< Limit on its running tasks over all workers; 0 in a dimension: no limit.
 };
 
 /// A pool of workers in the operators' configuration.
 struct Service {
   std::string Name;
-  bool EnforcesCapacity = false; ///< Its workers refuse what does not fit.
+  bool EnforcesCapacity = false; ///< Workers refuse tasks that exceed their free capacity.
 };
 
-/// The operators' configuration, whole.
+/// The complete operators' configuration.
 struct CellConfiguration {
   uint64_t Version = 0;
   std::vector<Queue> Queues;
   std::vector<Service> Services;
-  /// Absent: the cell knows no organisations, and callers need no keys.
+  /// Absent: the cell has no organisations, and callers need no keys.
   std::optional<std::vector<Organisation>> Organisations;
   int64_t MaxHeaderBytes = 16 * 1024;
   int64_t MaxBodyBytes = 256 * 1024;
 };
 using ConfigurationPtr = std::shared_ptr<const CellConfiguration>;
 
-/// The queue of \p Host with the longest prefix of \p Path, or null.
+/// Returns the queue of \p Host whose prefix is the longest match for \p Path, or null.
 const Queue *findQueue(const CellConfiguration &Config, std::string_view Host,
                        std::string_view Path);
 
-/// The organisation of that name, or null.
+/// Returns the organisation called \p Name, or null.
 const Organisation *findOrganisation(const CellConfiguration &Config, std::string_view Name);
 
-/// True if \p Need stays within \p Maximum, in which 0 means no limit.
+/// True if \p Need does not exceed \p Maximum, in which 0 means no limit.
 bool isWithin(const Resources &Need, const Resources &Maximum);
 
-/// A step as its caller asked for it.
+/// A step as submitted by the caller.
 struct StepSpec {
   uint32_t Count = 1;
-  Resources Need;                    ///< Of each task.
-  Milliseconds Estimate{0};          ///< The caller's guess of a task's run time; 0: none.
-  std::vector<uint32_t> DependsOn;   ///< Earlier steps that must be done first.
-  bool Checkpointable = false;       ///< Its tasks save their progress.
-  bool Gang = false;                 ///< Its tasks can work only together.
-  bool SameRack = false;             ///< Slow unless all tasks are in one rack.
-  std::string RequiredLabel;         ///< The worker must have it; empty: any.
-  std::string PreferredRack;         ///< Slow in other racks; empty: none.
-  uint32_t MaxPerWorker = 0;         ///< Tasks of the step that one worker may hold; 0: no limit.
-  bool Speculative = false;          ///< Copies may run side by side.
+  Resources Need;                    ///< Request of each task.
+  Milliseconds Estimate{0};          ///< Caller's estimate of a task's run time; 0: none.
+  std::vector<uint32_t> DependsOn;   ///< Indexes of earlier steps that must complete first.
+  bool Checkpointable = false;       ///< Tasks save their progress and can be resumed.
+  bool Gang = false;                 ///< All tasks must run at the same time.
+  bool SameRack = false;             ///< Tasks are slow unless all run in one rack.
+  std::string RequiredLabel;         ///< Label that the worker must have; empty: any worker.
+  std::string PreferredRack;         ///< Tasks are slow in other racks; empty: no preference.
+  uint32_t MaxPerWorker = 0;         ///< Limit on tasks of the step on one worker; 0: none.
+  bool Speculative = false;          ///< Several copies of a task may run at once.
   bool LongRunning = false;          ///< Runs until the job is cancelled.
-  bool BestEffort = false;           ///< Takes no processor room, only what others leave.
-  std::string Image;                 ///< Tasks of one image behave alike.
-  Milliseconds TailLatencyTarget{0}; ///< Objective of the users it serves; 0: none.
-  uint32_t MaxUnavailable = 0;       ///< Lasting tasks that may be away at a time by our doing.
+  bool BestEffort = false;           ///< Reserves no processor capacity; uses what is idle.
+  std::string Image;                 ///< Tasks with the same image behave alike.
+  Milliseconds TailLatencyTarget{0}; ///< Tail latency objective of a service; 0: none.
+  uint32_t MaxUnavailable = 0; ///< Long-running tasks are moved only while fewer than this are
+                               ///< unavailable; 0: always.
 };
 
-/// A job as it was accepted, with the policy of its queue at that time. Never changes.
+/// An accepted job with the policy its queue had at that time. Immutable.
 struct JobSpec {
   JobId Id = 0;
   std::string Queue;
   std::string Service;
-  std::string Organisation; ///< Whose key it came with; empty: none was needed.
+  std::string Organisation; ///< Owner of the key it was submitted with; empty: no key was needed.
   int Priority = 0;
   int MaxAttempts = 1;
   double CriticalPathFactor = 1;
   Milliseconds ObjectiveSlack{0};
   std::optional<AdvicePolicy> Advice;
-  std::string Payload; ///< Passed on to the workers as it is.
+  std::string Payload; ///< Opaque; passed on to the workers.
   std::vector<StepSpec> Steps;
-  uint32_t Repetitions = 0; ///< 0: one round, now.
+  uint32_t Repetitions = 0; ///< 0: runs once, immediately.
   WallTime FirstDue{};
   Milliseconds Interval{0};
   WallTime AcceptedAt{};
@@ -163,73 +164,72 @@
 
 enum class JobPhase { Live, Completed, Failed, Cancelled };
 
-/// How a run ended, as its worker lists it.
+/// How a run ended, as reported by its worker.
 enum class RunOutcome {
   Done,
-  Failed,       ///< By its own fault or its worker's.
-  Stopped,      ///< By our order.
+  Failed,       ///< The task or its worker failed.
+  Stopped,      ///< Stopped by the scheduler.
   LeaseExpired, ///< The worker's lease ran out.
   GangBroken,   ///< Another member of its gang ended.
-  GangTimedOut, ///< The rest of its gang did not come in time.
+  GangTimedOut, ///< The rest of its gang did not start in time.
 };
 
-/// One life of a worker, as the platform lists it. A worker that restarts has a new id.
+/// One incarnation of a worker, as listed by the platform. A restarted worker has a new id.
 struct WorkerInfo {
   std::string Id;
   std::string Service;
   Endpoint Address;
   std::string Zone;
-  std::string Machine; ///< The hardware it runs on, which outlives it; empty if not told.
+  std::string Machine; ///< Hardware that it runs on, the same after a restart; empty: unknown.
   std::string Rack;
   std::vector<std::string> Labels;
   Resources Capacity;
-  bool Draining = false;          ///< It leaves soon and takes nothing new,
-  Milliseconds DrainTimeLeft{0};  ///< though not before this time from when it was read.
-  Milliseconds WarmUpTimeLeft{0}; ///< It has begun its life and is slow for so long from then.
+  bool Draining = false;          ///< Accepts no new tasks and leaves, but not before
+  Milliseconds DrainTimeLeft{0};  ///< this time after the list was read.
+  Milliseconds WarmUpTimeLeft{0}; ///< Runs slowly for this time after the list was read.
 };
 
-/// The availability zones that operators have asked to be left empty, as the store had them at a
-/// revision.
+/// The availability zones that operators have asked to evacuate, at one revision of the store.
 struct EvacuatedZones {
   std::set<std::string> Names;
-  uint64_t Revision = 0; ///< The store's revision; 0: nothing is known.
+  uint64_t Revision = 0; ///< Store revision; 0: not read yet.
 };
 
-/// A run that a worker holds.
+/// A run that is active on a worker.
 struct ActiveRun {
   RunKey Run;
   std::string Checkpoint;
   int Percent = 0;
 };
 
-/// A run that has ended on a worker and that we have not let it forget.
+/// A run that has ended on a worker, which keeps it until the scheduler acknowledges the end.
 struct EndedRun {
-  uint64_t Number = 0; ///< Rises by one with each end of this life of the worker.
+  uint64_t Number = 0; ///< Incremented with each end in one incarnation of the worker.
   RunKey Run;
   RunOutcome Outcome = RunOutcome::Stopped;
   std::string Checkpoint;
 };
 
-/// What a worker says it holds.
+/// The active and ended runs that a worker reports.
 struct WorkerReport {
-  Milliseconds WorkerClock{0}; ///< Its own steady clock.
+  Milliseconds WorkerClock{0}; ///< The worker's steady clock.
   std::vector<ActiveRun> Active;
   std::vector<EndedRun> Ended;
 };
 
-/// What became of an order to start a run.
+/// Result of a request to start a run.
 enum class StartResult {
   Started,
-  RefusedFence,      ///< A newer scheduler has spoken to the worker.
-  RefusedStaleRun,   ///< The worker has stopped or ended that run or a later one.
-  RefusedExpired,    ///< The order came after its own time.
-  RefusedNoCapacity, ///< The worker guards its capacity and has no room.
-  RefusedTicket,     ///< The ticket does not hold (any more).
-  RefusedUnhealthy,  ///< The worker is unhealthy and did nothing.
-  RefusedMalformed,  ///< The worker can't read the order.
-  OtherIncarnation,  ///< Another life of the worker answered.
-  NotSent,           ///< No connection; surely nothing was started.
-  Unknown,           ///< No answer; it may have started or may still start.
+  RefusedFence,      ///< The worker has seen the fencing token of a newer scheduler.
+  RefusedStaleRun,   ///< That run or a later one of the task was stopped or has ended.
+  RefusedExpired,    ///< The request arrived after its deadline.
+  RefusedNoCapacity, ///< The worker enforces its capacity and has too little left.
+  RefusedTicket,     ///< The ticket is invalid or has expired.
+  RefusedUnhealthy,  ///< The worker is unhealthy and did not start the run.
+  RefusedMalformed,  ///< The worker could not parse the request.
+  OtherIncarnation,  ///< Another incarnation of the worker responded.
+  NotSent,           ///< No connection was made; the run was not started.
+  Unknown,           ///< No response; the run may have started or may still start.
 };
 
 } // namespace valveshelf::sched
