--- a/src/include/valveshelf/shard_state.h
+++ b/src/include/valveshelf/shard_state.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// The state of one shard: the jobs whose home it is, the tasks it runs, and the capacity books
-// of its workers. Only `applyRecord` changes what is durable, at run time and at replay alike;
-// the decisions in shard_decisions.h return records and effects and touch nothing else.
+// The state of one shard: its jobs, the tasks that it runs and the booked capacity of its workers.
+// A job's home shard accepts it and lends its tasks to the shards whose workers run them. Durable
+// state is changed only by `applyRecord`, at run time and in replay; see shard_decisions.h.
 #pragma once
 
 #include "valveshelf/box.h"
@@ -21,22 +21,22 @@
 
 using SpecPtr = std::shared_ptr<const JobSpec>;
 
-/// A task as its home shard sees it.
+/// State of a task at its home shard.
 enum class HomePhase { Waiting, Lent, Ended };
 
 struct HomeTask {
   HomePhase Phase = HomePhase::Waiting;
-  uint32_t Shard = 0;       ///< Where it was lent to; valid when Lent.
-  uint32_t NextAttempt = 1; ///< No attempt below it may still be started. Grows only.
+  uint32_t Shard = 0;       ///< Shard that it is lent to; valid if Lent.
+  uint32_t NextAttempt = 1; ///< No lower attempt may be started any more. Never decreases.
   TaskOutcome Outcome = TaskOutcome::None;
   std::string Detail;
   WallTime Ended{};
-  // Not durable from here on.
-  bool Adopted = false;      ///< The running shard has it durably.
-  std::string Worker;        ///< Last worker reported, for `status`.
-  std::string ReportedPhase; ///< Last phase reported, for `status`.
+  // The members below are not durable.
+  bool Adopted = false;      ///< The running shard has journalled it.
+  std::string Worker;        ///< Last reported worker, for `status`.
+  std::string ReportedPhase; ///< Last reported phase, for `status`.
   WallTime Started{};
-  TimePoint NotBefore{}; ///< A service task that keeps ending is restarted with a pause.
+  TimePoint NotBefore{}; ///< Earliest restart of a service task that has ended.
   TimePoint LentAt{};
 };
 
@@ -48,97 +48,97 @@
   uint32_t Waiting = 0; ///< Invariant: the three counts add up to Tasks.size().
   uint32_t Lent = 0;
   uint32_t Ended = 0;
-  TimePoint GangNotBefore{}; ///< Not durable: when to try for the gang's room again.
+  TimePoint GangNotBefore{}; ///< Not durable: next attempt to place the gang.
 };
 
-/// A task as the shard that runs it sees it.
+/// State of a task at the shard that runs it.
 enum class AssignedPhase {
-  Queued,   ///< Holds no room.
-  Starting, ///< The start is journalled; room is booked. It may run.
-  Running,  ///< The worker confirmed it; room is booked.
-  Ended,    ///< Waits for the home shard to record the end.
-  Returned, ///< Waits for the home shard to take it back. Never started again here.
+  Queued,   ///< Waits for placement; no capacity is booked.
+  Starting, ///< The start is journalled and capacity booked. It may be running.
+  Running,  ///< The worker has confirmed the start; capacity is booked.
+  Ended,    ///< Waits until the home shard has recorded the end.
+  Returned, ///< Waits until the home shard has taken it back. Not started here again.
 };
 std::string_view phaseName(AssignedPhase Value);
 
-/// How sure the owner is about a start that is journalled.
+/// Why it is uncertain whether a journalled start reached its worker.
 enum class StartUncertainty {
-  None,        ///< Own start, in flight or answered.
-  Unanswered,  ///< Own start whose answer was lost.
-  Predecessor, ///< A predecessor's start, which may still be on its way.
+  None,        ///< Not uncertain: started by this owner, and pending or answered.
+  Unanswered,  ///< Started by this owner, without a response.
+  Predecessor, ///< Started by a previous owner; the request may still be in transit.
 };
 
+/// A task lent to this shard.
 struct AssignedTask {
   TaskKey Key;
   SpecPtr Spec;
   uint32_t Home = 0;
   AssignedPhase Phase = AssignedPhase::Queued;
-  uint32_t Attempt = 1; ///< Next attempt when Queued, else the one intended. Grows only.
+  uint32_t Attempt = 1; ///< The next attempt if Queued, else the current one. Never decreases.
   uint32_t Tries = 0;   ///< Attempts that ran and failed.
-  std::string Worker;   ///< Set exactly when room is booked.
-  Resources Booked;     ///< Invariant: counted in the worker's book exactly when Worker is set.
+  std::string Worker;   ///< Set if and only if capacity is booked.
+  Resources Booked; ///< Invariant: included in WorkerState::Booked if and only if Worker is set.
   TaskOutcome Outcome = TaskOutcome::None;
   std::string Detail;
   WallTime Ended{};
-  // Not durable from here on.
+  // The members below are not durable.
   StartUncertainty Uncertainty = StartUncertainty::None;
-  bool CallInFlight = false; ///< The start call has not returned yet.
+  bool CallInFlight = false; ///< The start request has not returned yet.
   bool CancelWanted = false;
-  bool IntentDurable = false; ///< The store holds the intent.
-  TimePoint UncertainSince{}; ///< When the doubt could first be settled by a list.
-  int ListsWithoutTask = 0;   ///< Lists since then that did not show it.
+  bool IntentDurable = false; ///< The start intent is in the store.
+  TimePoint UncertainSince{}; ///< Worker lists can resolve the uncertainty from this time on.
+  int ListsWithoutTask = 0;   ///< Number of such lists that did not contain the task.
   TimePoint QueuedSince{};
-  TimePoint LeaseEnds{}; ///< Latest time at which the worker's lease on it may end.
+  TimePoint LeaseEnds{}; ///< Latest possible end of the worker's lease on the task.
   WallTime Started{};
-  Resources Usage;      ///< As last reported.
-  double QueueKey = 0;  ///< Its key in the queue.
-  std::string FailedOn; ///< Where it failed last; avoided if there is another place.
+  Resources Usage;      ///< Last reported usage.
+  double QueueKey = 0;  ///< Position in ShardState::Queue.
+  std::string FailedOn; ///< Worker of the last failure; avoided if another one fits.
 };
 
-/// What the owner believes about a worker.
+/// Health of a worker as observed by the shard's owner.
 enum class WorkerHealth {
-  Unseen, ///< Never answered this owner; nothing is placed there.
+  Unseen, ///< Has not responded to this owner yet; gets no tasks.
   Ready,
-  Lost,    ///< Does not answer.
-  Suspect, ///< Fails what others run; only probes are placed there.
-  Leaving, ///< In the box list as leaving.
-  Gone,    ///< Not in the box list any more.
+  Lost,    ///< Does not respond.
+  Suspect, ///< Fails tasks that run elsewhere; gets only probes.
+  Leaving, ///< Marked as leaving in the box list.
+  Gone,    ///< Removed from the box list.
 };
 std::string_view healthName(WorkerHealth Value);
 
-/// The capacity book of one worker.
+/// A worker of the shard and its booked capacity.
 struct WorkerState {
   BoxInfo Box;
   WorkerHealth Health = WorkerHealth::Unseen;
-  Resources
-      Booked; ///< Sum of AssignedTask::Booked over Parts. Never above Box.Capacity by our doing.
+  Resources Booked; ///< Sum of AssignedTask::Booked. Placement never takes it above Box.Capacity.
   std::set<TaskKey> AssignedTasks;
-  std::string Incarnation; ///< As the worker last told.
+  std::string Incarnation; ///< Last reported by the worker.
   int FailedCalls = 0;
-  int RecentFailures = 0; ///< Tasks that failed on it since one ran well.
-  Resources HeldForGangs; ///< Room held for gangs.
-  Resources OrphanUsage;  ///< Room taken by tasks the worker lists that are not ours.
+  int RecentFailures = 0; ///< Tasks that failed since the last one succeeded.
+  Resources HeldForGangs; ///< Capacity held for gangs.
+  Resources OrphanUsage;  ///< Usage of listed tasks that this shard did not start.
   TimePoint LastAnswer{};
   TimePoint ProbeNotBefore{};
-  uint32_t CandidateIndex = 0; ///< Its place in ShardState::Free.
+  uint32_t CandidateIndex = 0; ///< Index in ShardState::Candidates.
 };
 
-/// One worker's room, laid out for the scan of a placement decision.
+/// Capacity of one worker, in a compact form for the scan of a placement decision.
 struct PlacementCandidate {
   Resources Free;
   Resources Capacity;
   WorkerState *Worker = nullptr;
-  bool Usable = false; ///< Ready, so that tasks may be placed.
+  bool Usable = false; ///< Tasks may be placed.
 };
 
-/// Room held for a gang until it is confirmed or lapses. Not durable on purpose.
+/// Capacity held for a gang until the gang is placed or the hold expires. Deliberately not durable.
 struct GangHold {
   Resources Size;
-  std::map<std::string, uint32_t> Workers; ///< Worker to tasks held there.
+  std::map<std::string, uint32_t> Workers; ///< Number of tasks by worker.
   TimePoint ExpiresAt{};
 };
 
-/// What is left of a dropped part for a while: lends up to this attempt are late duplicates.
+/// Kept for a while after a task was dropped: lends up to this attempt are late duplicates.
 struct Tombstone {
   uint32_t Attempt = 0;
   TimePoint Dropped{};
@@ -147,38 +147,39 @@
 struct ShardState {
   uint32_t Id = 0;
   std::unordered_map<std::string, HomeJob> Jobs;
-  std::set<std::string> OpenJobs; ///< The jobs with a task that has not ended. Finished jobs stay
-                                  ///< in Jobs for a while and are never scanned.
+  std::set<std::string> OpenJobs; ///< Jobs with a task that has not ended. Ended jobs stay in Jobs
+                                  ///< until they are forgotten and are not scanned.
   std::map<TaskKey, AssignedTask> AssignedTasks;
-  std::set<TaskKey> Dirty; ///< Parts whose home has not been told of their last change.
+  std::set<TaskKey> Dirty; ///< Tasks whose last change has not been reported to the home shard.
   std::map<std::string, std::unique_ptr<WorkerState>> Workers;
-  std::vector<PlacementCandidate> Candidates; ///< Same workers as Workers, one each.
-  std::set<std::pair<double, TaskKey>> Queue; ///< The Queued parts, by AssignedTask::QueueKey.
+  std::vector<PlacementCandidate> Candidates; ///< One for each of Workers.
+  std::set<std::pair<double, TaskKey>> Queue; ///< Queued tasks, by AssignedTask::QueueKey.
   std::map<std::string, GangHold> Holds;      ///< By job.
-  std::map<std::string, Resources> TeamUse;   ///< "partner/team" and "partner" to what is booked.
-  std::unordered_map<std::string, std::vector<char>> SelectorCache; ///< Selector to match per room.
-  std::map<TaskKey, Tombstone> Tombstones; ///< Parts dropped lately; a late lend is not taken.
-  bool PredecessorGone = true;             ///< No earlier owner can send anything any more.
-  uint64_t Starts = 0;                     ///< Starts confirmed by workers, for reports.
+  std::map<std::string, Resources> TeamUse;   ///< Booked capacity by "partner/team" and "partner".
+  std::unordered_map<std::string, std::vector<char>>
+      SelectorCache;                       ///< Match of each candidate by selector.
+  std::map<TaskKey, Tombstone> Tombstones; ///< Recently dropped tasks; late lends are ignored.
+  bool PredecessorGone = true;             ///< No previous owner can still send requests.
+  uint64_t Starts = 0;                     ///< Starts confirmed by workers, for metrics.
 };
 
-/// The key of a job's team in ShardState::TeamUse.
+/// Returns the key of the job's team in ShardState::TeamUse.
 std::string teamKey(const JobSpec &Spec);
 
-/// Changes \p State as \p Record says. Deterministic but for \p Now, which only sets waiting
-/// times. Records of an unknown job or task are ignored, so that replay never fails.
+/// Applies \p Record to \p State. Deterministic, except that \p Now sets the times from which
+/// waiting is measured. Records of unknown jobs or tasks are ignored, so that replay never fails.
 void applyRecord(ShardState &State, const wire::Record &Record, TimePoint Now);
 
-/// Records that rebuild the durable part of \p State from nothing, beginning with ShardReset.
+/// Returns records that rebuild the durable part of \p State; the first is ShardReset.
 std::vector<wire::Record> snapshotOf(const ShardState &State);
 
-/// Adds the worker or takes over its changed description.
+/// Adds a worker or updates its description.
 void setWorker(ShardState &State, const BoxInfo &Box);
-/// Sets the health and what follows from it for placement.
+/// Sets the health of a worker and updates its placement candidate.
 void setHealth(ShardState &State, WorkerState &Worker, WorkerHealth Health);
-/// Writes the free room of \p Worker into the scan table.
+/// Updates the placement candidate of \p Worker.
 void refreshCandidate(ShardState &State, WorkerState &Worker);
-/// Books \p Size more for \p Key's part, when it uses more than it declared.
+/// Raises the booking of a task that uses more than it requested to at least \p Size.
 void increaseBooking(ShardState &State, AssignedTask &Task, const Resources &Size);
 
 JobSpec specFromWire(const wire::JobSpec &Wire);
