--- a/src/include/valveshelf/shard_decisions.h
+++ b/src/include/valveshelf/shard_decisions.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a shard decides: pure functions of state, event and time. Every function applies its
-// own records to the state and returns them, to be journalled before any effect is carried out.
+// The decisions of a shard: pure functions of state, event and time. Each applies its records to
+// the state and returns them; they must be journalled before the returned effects are carried out.
 #pragma once
 
 #include "valveshelf/cell_config.h"
@@ -15,7 +15,7 @@
 
 namespace valveshelf {
 
-/// Sends a start to a worker once the decision's records are durable.
+/// Starts a task on a worker, once the decision's records are durable.
 struct StartEffect {
   TaskKey Key;
   uint32_t Attempt = 0;
@@ -24,7 +24,7 @@
   SpecPtr Spec;
 };
 
-/// Asks a worker to stop a task or to hold it to its declared size. Safe to repeat.
+/// Stops a task on a worker or throttles it to its requested size. Idempotent.
 struct ControlEffect {
   enum class Action { Stop, Throttle };
   std::string Worker;
@@ -33,13 +33,13 @@
   Action Kind = Action::Stop;
 };
 
-/// Tells a worker that it may forget an ended task, once the records are durable.
+/// Lets a worker forget an ended task, once the decision's records are durable.
 struct ForgetEffect {
   std::string Worker;
   std::string TaskId;
 };
 
-/// Hands tasks to the shard that is to run them, once the records are durable.
+/// Lends tasks to the shard that is to run them, once the decision's records are durable.
 struct LendEffect {
   uint32_t Shard = 0;
   SpecPtr Spec;
@@ -53,14 +53,14 @@
   std::vector<TaskKey> Keys;
 };
 
-/// Something an operator reads in the log.
+/// A log event for operators.
 struct Notice {
   const struct EventKind *Kind = nullptr;
   std::string Subject;
   std::string Detail;
 };
 
-/// What came of an event.
+/// Records and effects of a decision.
 struct Decision {
   std::vector<wire::Record> Records;
   std::vector<StartEffect> Starts;
@@ -71,58 +71,57 @@
   std::vector<Notice> Notices;
 };
 
-/// Times and limits of the decisions.
+/// Timeouts and limits of the decisions.
 struct DecisionLimits {
   Milliseconds TaskLease{60000};
-  Milliseconds SettleTime{2000}; ///< How long after the last possible send a list counts as proof.
+  Milliseconds SettleTime{2000}; ///< A worker list shows every start sent this long before.
   Milliseconds LeaseMargin{1000};
-  Milliseconds ReturnTimeout{
-      1500}; ///< A task that finds no room for so long goes back to its home.
+  Milliseconds ReturnTimeout{1500}; ///< A task queued for longer is returned to its home shard.
   Milliseconds ResendInterval{1000};
   Milliseconds ProbeInterval{5000};
   Milliseconds TombstoneRetention{600000};
   int FailedCallsUntilLost = 2;
   int FailuresUntilSuspect = 3;
   size_t MaxStartsPerRound = 512;
-  size_t MaxScannedPerRound = 4096;         ///< Queued tasks looked at in one round.
-  std::chrono::hours EndedJobRetention{24}; ///< How long `status` knows a job after its end.
+  size_t MaxScannedPerRound = 4096;         ///< Queued tasks examined in one round.
+  std::chrono::hours EndedJobRetention{24}; ///< How long an ended job is kept for `status`.
 };
 
-/// The worker's name for one attempt: `job/index#attempt`.
+/// Returns the id of an attempt on its worker: `job/index#attempt`.
 std::string workerTaskId(const TaskKey &Key, uint32_t Attempt);
-/// The inverse of `workerTaskId`; empty if \p Id is not of that form.
+/// Inverse of `workerTaskId`; nullopt if \p Id is malformed.
 std::optional<std::pair<TaskKey, uint32_t>> parseWorkerTaskId(std::string_view Id);
 
 // ---- The running shard.
 
-/// Takes lent tasks in. Tasks that it has already, or that are late duplicates, are passed over.
+/// Queues lent tasks. Skips tasks that the shard already has and late duplicates.
 Decision adoptTasks(ShardState &State, const wire::LendRequest &Lend, TimePoint Now);
 
-/// What a team or partner ("partner/team" or "partner") has booked on other shards, as last heard.
+/// Returns the capacity that a team or partner ("partner/team" or "partner") has booked on other
+/// shards, as last reported.
 using UsedElsewhere = std::function<Resources(const std::string &Key)>;
 
-/// True if one more task of \p Spec stays within the quotas of its team and partner. What is
-/// started elsewhere within one round of gossip is not seen yet, so a quota may be exceeded by
-/// that.
+/// True if one more task of \p Spec stays within the quotas of its team and partner. A quota may be
+/// exceeded by what other shards start before their next usage report.
 bool withinQuota(const ShardState &State, const JobSpec &Spec, const CellConfig &Config,
                  const UsedElsewhere &Elsewhere);
 
-/// Chooses workers for queued tasks, best first. With \p StoreUp false, tasks that are not to
-/// be repeated stay queued.
+/// Places queued tasks on workers, in queue order. Non-repeatable tasks stay queued if \p StoreUp
+/// is false.
 Decision placeQueued(ShardState &State, const CellConfig &Config, bool StoreUp,
                      const UsedElsewhere &Elsewhere, const DecisionLimits &Limits, TimePoint Now,
                      WallTime Wall);
 
-/// What came of sending a start.
+/// Result of sending a start request.
 enum class StartAnswer {
   Accepted,
-  NotSent,    ///< Surely no byte left.
-  Unanswered, ///< It may run.
+  NotSent,    ///< No byte was sent.
+  Unanswered, ///< The task may be running.
 };
 Decision onStartAnswer(ShardState &State, const TaskKey &Key, uint32_t Attempt, StartAnswer Answer,
                        const DecisionLimits &Limits, TimePoint Now);
 
-/// One task as a worker lists it.
+/// A task in a worker's list.
 struct TaskReport {
   std::string Id;
   enum class State { Running, Succeeded, Failed, Stopped } Status = State::Running;
@@ -133,94 +132,97 @@
 };
 struct WorkerReport {
   std::string Incarnation;
-  uint64_t Version = 0; ///< Grows with every change of the list.
+  uint64_t Version = 0; ///< Incremented with each change of the list.
   std::vector<TaskReport> Tasks;
 };
-/// Takes in a worker's list. \p AskedAt is when the call was sent, \p Renewed whether it renewed
-/// the leases of the tasks that were named.
+/// Handles a worker's task list. \p AskedAt is the time of the request, \p Renewed whether it
+/// renewed the leases of the tasks it named.
 Decision onWorkerReport(ShardState &State, const std::string &Worker, const WorkerReport &Report,
                         bool Renewed, const DecisionLimits &Limits, TimePoint AskedAt,
                         TimePoint Now, WallTime Wall);
 
-/// A call to the worker failed. With \p Renewed it may have renewed leases, now or later.
+/// Handles a failed call to a worker. With \p Renewed, the call may have renewed leases or may
+/// still do so.
 Decision onWorkerCallFailed(ShardState &State, const std::string &Worker, bool Renewed,
                             const DecisionLimits &Limits);
 
-/// Takes in the box list: new, changed, leaving and vanished workers of this shard.
+/// Handles the box list: new, changed, leaving and removed workers of this shard.
 Decision onBoxList(ShardState &State, const BoxList &Workers, TimePoint Now, WallTime Wall);
 
-/// What only time brings: leases that have surely lapsed, tasks to give back, probes.
-/// \p RoomElsewhere says whether another shard could take a task of that spec now.
+/// Handles timeouts: expired leases, holds and tombstones, and queued tasks to return to their home
+/// shards. \p RoomElsewhere tells whether another shard has capacity for a task of the spec.
 Decision onTick(ShardState &State, const DecisionLimits &Limits,
                 const std::function<bool(const JobSpec &)> &RoomElsewhere, TimePoint Now,
                 WallTime Wall);
 
-/// The home shard wants the tasks cancelled.
+/// Cancels tasks at the request of their home shard.
 Decision onCancelTasks(ShardState &State, const std::vector<TaskKey> &Keys, WallTime Wall);
 
-/// The home shard has recorded these ends or returns.
+/// Drops ended and returned tasks that their home shard has recorded.
 Decision dropTasks(ShardState &State, const std::vector<TaskKey> &Keys, TimePoint Now);
 
-/// Holds room for up to \p Count tasks of a gang until \p ExpiresAt. Returns for how many.
+/// Holds capacity for up to \p Count tasks of a gang until \p ExpiresAt. Returns the number of
+/// tasks.
 uint32_t holdCapacity(ShardState &State, const JobSpec &Spec, uint32_t Count,
                       const CellConfig &Config, TimePoint ExpiresAt);
-/// Gives the room held for \p Job free.
+/// Releases the capacity held for \p Job.
 void releaseHeldCapacity(ShardState &State, const std::string &Job);
 
-/// The predecessor surely sends nothing any more.
+/// Handles the confirmation that the previous owner sends no more requests.
 void onPredecessorGone(ShardState &State, const DecisionLimits &Limits, TimePoint Now);
 
-/// After a takeover: every journalled start may still be on its way, and every lease may have
-/// been renewed until now.
+/// Prepares a replayed state after a takeover: any journalled start may still be in transit, and
+/// any lease may have been renewed up to \p Now.
 void markTakenOver(ShardState &State, bool PredecessorGone, const DecisionLimits &Limits,
                    TimePoint Now);
 
-/// The parts whose home should hear of a change, by home shard. With \p Resend also those whose
-/// end or return was told and not yet acknowledged.
+/// Returns the unreported task changes, by home shard, and marks them as reported. With \p Resend,
+/// includes all ends and returns that have not been acknowledged.
 std::map<uint32_t, wire::ReportRequest> pendingReports(ShardState &State, bool Resend);
 
 // ---- The home shard.
 
-/// Takes a new job in. The caller has checked that there is none of that id.
+/// Accepts a new job. The caller has checked that its id is unused.
 Decision acceptJob(ShardState &State, const JobSpec &Spec, TimePoint Now);
 
-/// Chooses where the tasks of a job should run: pairs of shard and count, at most \p Count in
-/// all. An empty result means that they have to wait.
+/// Chooses the shards for \p Count tasks of a job: pairs of shard and number of tasks, at most
+/// \p Count in total. Tasks without a shard wait.
 using ShardChooser =
     std::function<std::vector<std::pair<uint32_t, uint32_t>>(const JobSpec &, uint32_t Count)>;
 
-/// Lends out waiting tasks; with \p Resend also sends again what was not answered.
+/// Lends waiting tasks; with \p Resend, also repeats lends that were not acknowledged.
 Decision lendWaiting(ShardState &State, const ShardChooser &Choose, bool Resend,
                      const DecisionLimits &Limits, TimePoint Now);
 
-/// Forgets jobs that ended long ago.
+/// Forgets jobs that ended longer ago than `DecisionLimits::EndedJobRetention`.
 Decision forgetEndedJobs(ShardState &State, const DecisionLimits &Limits, TimePoint Now,
                          WallTime Wall);
 
-/// As `lendWaiting`, for one job whose room is known.
+/// Lends the waiting tasks of one job, for which capacity has been found.
 Decision lendOne(ShardState &State, const std::string &Job, const ShardChooser &Choose,
                  TimePoint Now);
 
-/// A running shard has the tasks durably.
+/// Handles the confirmation that a running shard has journalled the lent tasks.
 void onAdopted(ShardState &State, const LendEffect &Lent);
 
-/// Takes in what a running shard tells of its tasks. Once the records are durable, the ends and
-/// returns in \p Report are acknowledged.
+/// Handles task changes reported by a running shard. The ends and returns in \p Report may be
+/// acknowledged once the records are durable.
 Decision onReport(ShardState &State, const wire::ReportRequest &Report, TimePoint Now,
                   WallTime Wall);
 
-/// The caller cancels the job.
+/// Cancels a job at the caller's request.
 Decision cancelJob(ShardState &State, const std::string &Job);
 
-/// Cancels that running shards have not carried out yet.
+/// Returns the cancellations that running shards have not carried out yet.
 std::vector<CancelEffect> pendingCancels(const ShardState &State);
 
 // ---- Explanations.
 
-/// How many workers each filter leaves out for \p Spec.
+/// Number of workers excluded by each placement filter.
 struct FilterCounts {
   uint32_t Workers = 0, NotUsable = 0, NotSelected = 0, TooSmall = 0, NoRoom = 0, Fit = 0;
 };
+/// Counts the workers that each filter excludes for a task of \p Spec.
 FilterCounts countFilters(ShardState &State, const JobSpec &Spec, const CellConfig &Config);
 
 } // namespace valveshelf
