--- a/src/include/valveshelf/shard_directory.h
+++ b/src/include/valveshelf/shard_directory.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Where tasks could run: the box list, and what peers last told about their shards' room.
+// The box list and the last reported load of every shard, from which the shards for tasks are
+// chosen.
 #pragma once
 
 #include "valveshelf/box.h"
@@ -16,42 +17,44 @@
 
 namespace valveshelf {
 
-/// What a shard last told of its room.
+/// Load last reported by a shard.
 struct ShardLoad {
   Resources Free;
-  Resources LargestFree;
+  Resources LargestFree; ///< Of the worker with the most free capacity.
   uint32_t Workers = 0;
   uint32_t Queued = 0;
   uint64_t Epoch = 0;
   TimePoint ReceivedAt{};
-  std::map<std::string, Resources> Use; ///< By "partner/team" and "partner".
+  std::map<std::string, Resources> Use; ///< Booked capacity by "partner/team" and "partner".
 };
 
-/// Safe from any thread.
+/// Thread-safe.
 class ShardDirectory {
 public:
   explicit ShardDirectory(uint32_t Shards);
 
   void setBoxes(BoxList Boxes);
   std::shared_ptr<const BoxList> boxes() const;
-  /// Takes in a summary unless a newer epoch was heard.
+  /// Updates the load of a shard, unless a report of a newer epoch has been received.
   void applySummary(const wire::ShardSummary &Summary, TimePoint Now);
   std::map<uint32_t, ShardLoad> loads() const;
 
-  /// What \p Key, a team or partner, has booked on all shards but \p ExceptShard, as last heard.
+  /// Returns the capacity that \p Key, a team or partner, has booked on all shards except
+  /// \p ExceptShard, as last reported.
   Resources usedElsewhere(const std::string &Key, uint32_t ExceptShard) const;
 
-  /// The workers of one shard.
+  /// Returns the workers of one shard.
   BoxList workersOf(uint32_t Shard) const;
-  /// The shards with a box that could ever hold a task of \p Spec; empty: impossible.
+  /// Returns the shards with a box whose total capacity and labels suit a task of \p Spec.
   std::vector<uint32_t> capableShards(const JobSpec &Spec) const;
-  /// Why no box could hold it, with counts; for the answer to an impossible job.
+  /// Explains, with counts, why no box could hold a task of \p Spec; for error messages.
   std::string explainImpossible(const JobSpec &Spec) const;
-  /// True if another shard than \p ExceptShard told of room for one more task.
+  /// True if a shard other than \p ExceptShard has reported an empty queue and capacity for a task
+  /// of \p Spec.
   bool hasRoomElsewhere(const JobSpec &Spec, uint32_t ExceptShard, TimePoint Now) const;
-  /// Shares \p Count tasks out: to shards with room first, by \p Pack the fullest or emptiest
-  /// of them; what finds no room goes to the capable shard with the shortest queue. Room given
-  /// out is taken off until the shard tells anew.
+  /// Distributes \p Count tasks over shards: first to those with free capacity, fullest first if
+  /// \p Pack is true and emptiest first otherwise; the rest to the capable shards with the shortest
+  /// queues. The assigned capacity counts as used until the shard's next report.
   std::vector<std::pair<uint32_t, uint32_t>> chooseShards(const JobSpec &Spec, uint32_t Count,
                                                           bool Pack, TimePoint Now);
 
@@ -60,7 +63,7 @@
 
   const uint32_t Shards;
   mutable std::mutex Mutex;
-  // All below is guarded by Mutex.
+  // The members below are guarded by Mutex.
   std::shared_ptr<const BoxList> Boxes;
   std::map<uint32_t, BoxList> Workers;
   std::map<uint32_t, ShardLoad> Loads;
--- a/src/include/valveshelf/shard_runner.h
+++ b/src/include/valveshelf/shard_runner.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// One owned shard at work: its state under its own lock, its journal records, and the calls to
-// workers and peers that its decisions ask for.
+// Runs one owned shard: holds its state, journals its records, and makes the calls to workers and
+// peers that its decisions request.
 #pragma once
 
 #include "valveshelf/journal.h"
@@ -16,14 +16,14 @@
 
 namespace valveshelf {
 
-/// What a shard runner works with. Everything outlives the runner.
+/// Dependencies of a shard runner. All outlive it.
 struct ShardTools {
   Executor Where;
   Clock Time;
   valveshelf::Timing Times;
   DecisionLimits Limits;
   uint32_t Shards = 1;
-  std::string Self; ///< Journal of this process.
+  std::string Self; ///< Journal id of this process.
   WorkerOps Workers;
   StoreOps Store;
   PeerOps Peers;
@@ -34,52 +34,52 @@
   ConfigSource Config;
 };
 
-/// Where the round of reports to home shards stands.
+/// Progress of a round of reports to home shards.
 enum class ReportStage {
-  None,
-  Journal, ///< What is told has to be durable first.
-  Home,    ///< A home shard's owner is asked to record it.
+  None,    ///< No round is in progress.
+  Journal, ///< Waits until the reported changes are durable.
+  Home,    ///< Waits for the owner of a home shard to record them.
 };
 
-/// Counters for metrics and reports.
+/// Counts for metrics and reports.
 struct ShardStats {
   uint64_t Starts = 0;
   size_t Jobs = 0, AssignedTasks = 0, Queued = 0, Running = 0, Workers = 0, WorkersReady = 0;
-  size_t Unreported = 0; ///< Parts that have ended or go back, of which their homes are not told.
+  size_t Unreported = 0; ///< Ended or returned tasks that their home shards have not recorded.
   int StartsInFlight = 0;
   bool Draining = false;
   ReportStage Stage = ReportStage::None;
-  Milliseconds TimeInStage{0}; ///< Since when.
+  Milliseconds TimeInStage{0}; ///< Time since the stage was entered.
 };
 
-/// Safe from any thread. Use through a shared pointer: its loops keep it alive until they end.
+/// Thread-safe. Must be owned by a shared pointer; the loops keep the runner alive until they end.
 class ShardRunner : public std::enable_shared_from_this<ShardRunner> {
 public:
   ShardRunner(uint32_t Shard, uint64_t Epoch, ShardTools Tools);
 
-  /// Rebuilds the state before `start`. \p Predecessor is the journal that owned the shard, or
-  /// empty; \p PredecessorGone says that it surely sends nothing any more.
+  /// Rebuilds the state; call before `start`. \p Predecessor is the journal of the previous owner,
+  /// or empty; \p PredecessorGone tells whether that owner is known to send no more requests.
   void load(const std::vector<wire::Record> &Records, std::string Predecessor,
             Endpoint PredecessorAddress, bool PredecessorGone);
   void start();
-  /// Ends all loops; nothing is sent from then on.
+  /// Ends all loops; no more requests are sent.
   void stop();
-  /// Places nothing more, waits until no start is in flight, and returns the state. From then on
-  /// the state stays as it was returned: whatever would change it is refused or left to be told
-  /// again, here after `resume` or to the next owner. Planned only.
+  /// Stops placement, waits until no start is in flight, and returns a snapshot of the state for a
+  /// planned handover. After that the state does not change until `resume`: requests that would
+  /// change it are refused or left unacknowledged, to be repeated here or to the next owner.
   Awaitable<std::vector<wire::Record>> drain();
-  /// Goes back to work after a drain that led nowhere.
+  /// Resumes work after a drain that did not lead to a handover.
   void resume();
 
   uint32_t shard() const { return Shard; }
   uint64_t epoch() const { return Epoch; }
   int startsInFlight() const { return StartsInFlight; }
-  /// Appends the records that rebuild the shard to the journal, in order with all others.
+  /// Appends a snapshot of the shard to the journal, in order with its other records.
   void appendSnapshot(DurableCallback WhenDurable);
   wire::ShardSummary summary();
   ShardStats stats();
 
-  // Callers' operations, all at the home shard. The bodies are JSON.
+  // Callers' operations, at the home shard. Bodies are JSON.
   Awaitable<Result<std::string>> submit(std::string Json);
   Result<std::string> status(const std::string &Job);
   Awaitable<Result<std::string>> cancel(std::string Job);
@@ -92,7 +92,7 @@
   Awaitable<wire::ReportReply> onReportReceived(wire::ReportRequest Request);
   Awaitable<wire::CancelReply> onCancel(wire::CancelRequest Request);
   wire::HoldReply onHold(const wire::HoldRequest &Request);
-  /// Filters of this shard for a job, for `explain`.
+  /// Counts the workers of this shard that each placement filter excludes, for `explain`.
   FilterCounts filters(const JobSpec &Spec);
 
 private:
@@ -104,8 +104,8 @@
   void queueForgets(const std::vector<ForgetEffect> &Ended);
   void logNotices(const std::vector<Notice> &Notices);
   bool mayAct();
-  /// True while the state may change: not once it was written down for the next owner, which would
-  /// not hear of it. Call under Mutex, and change the state under the same lock.
+  /// False once the runner is stopped or has returned its state for the next owner, which would
+  /// miss later changes. Requires Mutex, which must be held until the state has been changed.
   bool mayModifyState() const { return !Stopped && !HandedOver; }
 
   static Awaitable<void> tickLoop(Self This);
@@ -127,13 +127,13 @@
   void onSynced(const std::string &Worker, const WorkerSync &Sent,
                 const Result<WorkerReport> &Answer, TimePoint AskedAt);
   Endpoint ownerOf(uint32_t Other);
-  /// False: the state may not change now.
+  /// Returns false if the state may not change now.
   bool markPredecessorGone();
 
   const uint32_t Shard;
   const uint64_t Epoch;
   const ShardTools Tools;
-  SteadyTimer TickTimer; ///< Of the tick loop; used on its strand only.
+  SteadyTimer TickTimer; ///< Used on its own strand only.
   std::atomic<bool> TickRequested{false};
   std::atomic<bool> Stopped{false};
   std::atomic<bool> Draining{false};
@@ -142,17 +142,17 @@
   Endpoint PredecessorAddress;
 
   std::mutex Mutex;
-  // All below is guarded by Mutex.
+  // The members below are guarded by Mutex.
   ShardState State;
-  bool HandedOver = false; ///< The state was given to the next owner.
+  bool HandedOver = false; ///< The state was returned by `drain`.
   std::map<std::string, std::vector<std::string>>
-      PendingForgets;                           ///< By worker: ended tasks, durable.
-  std::map<std::string, uint64_t> ListVersions; ///< By worker.
-  std::set<std::string> PolledWorkers;          ///< Workers with a loop.
+      PendingForgets;                           ///< Durably ended tasks, by worker.
+  std::map<std::string, uint64_t> ListVersions; ///< Version of the last list, by worker.
+  std::set<std::string> PolledWorkers;          ///< Workers with a running loop.
   std::set<std::string> GangsInPlacement;
-  ReportStage Stage = ReportStage::None; ///< Other than None: a round of reports is under way.
+  ReportStage Stage = ReportStage::None; ///< Not None while a round of reports is in progress.
   TimePoint StageSince{};
-  bool ResendReports = true; ///< Ends and returns are told again in the next report.
+  bool ResendReports = true; ///< The next report repeats unacknowledged ends and returns.
   TimePoint LastForget{};
   TimePoint LastSlowTick{};
 };
