--- a/src/include/valveshelf/router.h
+++ b/src/include/valveshelf/router.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The way of a request from caller to upstream and back: route, slot, retries, whole answers.
+// Routes callers' requests to upstreams: matches the route, acquires a slot, retries, and streams
+// the response back.
 #pragma once
 
 #include "valveshelf/config_keeper.h"
@@ -19,7 +20,7 @@
   std::atomic<uint64_t> Served{0}, Refused{0}, Retried{0}, Truncated{0};
 };
 
-/// What the router works with. Everything outlives it.
+/// Dependencies of the router. All outlive it.
 struct RouterTools {
   Executor Where;
   Clock Time;
@@ -27,22 +28,22 @@
   ShardDirectory &Directory;
   ConfigSource Config;
   std::function<CellViewPtr()> View;
-  std::function<bool()> MayAct; ///< Whether this process may use its share of the slots.
+  std::function<bool()> MayAct; ///< True while this process may use its slots.
   std::string Member;
 };
 
-/// Safe from any thread.
+/// Thread-safe.
 class Router {
 public:
   explicit Router(RouterTools Tools);
   /// Serves one request under `/svc/`.
   Awaitable<void> serve(HttpExchange &Exchange);
   const RouterStats &stats() const { return Stats; }
-  /// Takes in changes of boxes, members and configuration. Called every fraction of a second.
+  /// Applies changes of boxes, members and configuration. Called several times a second.
   void refresh();
-  /// This process has joined the cell and takes its share of the slots from now on.
+  /// Notes that this process has joined the cell and has a share of the slots from now on.
   void onJoined();
-  /// True once that share can be used, so that requests are welcome.
+  /// True once that share can be used, so that this process can serve requests.
   bool ready();
 
 private:
@@ -51,12 +52,12 @@
     ServiceConfig Service;
   };
   struct RequestState;
-  /// Why a request gets no slot, and when asking again is of use.
+  /// Why a request gets no slot, and when the caller may retry.
   struct SlotRefusal {
     Error Why;
     std::chrono::seconds RetryAfter{};
   };
-  /// A member whose lease is gone. It may go on by its peers' promises for a while.
+  /// A member whose lease has expired. It may continue for a while on its peers' promises.
   struct DepartedMember {
     std::string Log;
     TimePoint Since{};
@@ -73,11 +74,9 @@
   const RouterTools Tools;
   RouterStats Stats;
   std::mutex Mutex;
-  SlotTable Slots; ///< Guarded by Mutex.
-  std::map<std::string, DepartedMember>
-      DepartedMembers; ///< Members that left the view, by name. Guarded by Mutex.
-  std::map<std::string, std::string>
-      LastMembers; ///< Members by name, with their journals. Guarded by Mutex.
+  SlotTable Slots;                                       ///< Guarded by Mutex.
+  std::map<std::string, DepartedMember> DepartedMembers; ///< By name. Guarded by Mutex.
+  std::map<std::string, std::string> LastMembers; ///< Journal ids by member name. Guarded by Mutex.
 };
 
 } // namespace valveshelf
