--- a/src/include/valveshelf/traffic.h
+++ b/src/include/valveshelf/traffic.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a process says to others: calls, bytes and new connections by kind of message. Each message
-// is counted by its sender, so that the counts of all processes of a cell add up to its traffic.
+// Counts calls, bytes and new connections of a process by kind of message. Only the sender of a
+// message counts it, so that the sum over all processes is the traffic of the cell.
 #pragma once
 
 #include "valveshelf/coroutines.h"
@@ -15,24 +15,24 @@
 
 namespace valveshelf {
 
-/// Of one kind of message.
+/// Counts of one kind of message.
 struct TrafficCounts {
-  uint64_t Calls = 0;             ///< Sent, or tried where no connection could be made.
-  uint64_t Failed = 0;            ///< Of them, those without a whole answer.
-  uint64_t ConnectionsOpened = 0; ///< Of them, those that opened a connection.
-  uint64_t BytesSent = 0;         ///< Bytes of requests, heads included.
-  uint64_t BytesReceived = 0;     ///< Bytes of answers, heads included.
+  uint64_t Calls = 0;             ///< Includes calls for which no connection could be made.
+  uint64_t Failed = 0;            ///< Calls without a complete response.
+  uint64_t ConnectionsOpened = 0; ///< Calls that opened a new connection.
+  uint64_t BytesSent = 0;         ///< Size of requests, including headers.
+  uint64_t BytesReceived = 0;     ///< Size of responses, including headers.
   TrafficCounts &operator+=(const TrafficCounts &Other);
   friend bool operator==(const TrafficCounts &, const TrafficCounts &) = default;
 };
 
-/// By kind, such as "store watch op/" or "worker hold". Plain data; one thread at a time.
+/// Counts by kind, such as "store watch op/" or "worker hold". Not thread-safe.
 struct TrafficStats {
   std::map<std::string, TrafficCounts, std::less<>> Kinds;
-  Milliseconds Duration{0}; ///< Since counting began; of several processes the longest.
+  Milliseconds Duration{0}; ///< Counting time; the longest one if merged.
 };
 
-/// Counts while a process runs. Safe from any thread.
+/// Counts the messages of this process. Thread-safe.
 class TrafficMeter {
 public:
   explicit TrafficMeter(Clock Time);
@@ -46,21 +46,21 @@
   TrafficStats Stats; ///< Guarded by Mutex.
 };
 
-/// Adds what another process counted.
+/// Adds the counts of another process.
 void mergeTraffic(TrafficStats &Stats, const TrafficStats &Other);
 
-/// The book as JSON, for other processes and for tools.
+/// Formats the counts as JSON, for other processes and for tools.
 std::string encodeTraffic(const TrafficStats &Stats);
-/// BadRequest, naming the field, if \p Text is not what `encodeTraffic` writes.
+/// Parses the output of `encodeTraffic`. Returns BadRequest, naming the invalid field.
 Result<TrafficStats> decodeTraffic(std::string_view Text);
 
-/// One process in a report: its counts as it told them.
+/// The counts of one process in a report.
 struct ProcessTraffic {
   std::string Address;
   TrafficStats Stats;
 };
-/// Rates by kind over all processes and of the one that has most, for people; as JSON; and as a
-/// page with a bar for each process.
+/// Reports the rates by kind, summed over all processes and of the busiest one: as a table, as
+/// JSON, and as an HTML page with a bar for each process.
 std::string trafficTable(const std::vector<ProcessTraffic> &Cell);
 std::string trafficJson(const std::vector<ProcessTraffic> &Cell);
 std::string trafficPage(const std::vector<ProcessTraffic> &Cell);
