--- a/src/jobs/decision_tools.h
+++ b/src/jobs/decision_tools.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the decisions of running and home shards share: making records.
+// Helpers for building journal records, shared by the decisions of home and running shards.
 #pragma once
 
 #include "valveshelf/events.h"
@@ -14,18 +14,19 @@
   return Wire;
 }
 
-/// Builds records, applies each at once, and gathers them in a decision.
+/// Builds records, applies each to the state, and collects them in a decision.
 class Recorder {
 public:
   Recorder(ShardState &State, Decision &Out, TimePoint Now) : State(State), Out(Out), Now(Now) {}
 
-  /// Applies and keeps \p NewRecord.
+  /// Applies \p NewRecord and adds it to the decision.
   void add(wire::Record NewRecord) {
     NewRecord.set_shard(State.Id);
     applyRecord(State, NewRecord, Now);
     Out.Records.push_back(std::move(NewRecord));
   }
 
+  /// Records that a start did not take effect, and queues the task again.
   void startVoid(const AssignedTask &Task, const std::string &Why, bool CountsAsTry) {
     wire::Record NewRecord;
     *NewRecord.mutable_start_void()->mutable_key() = wireKey(Task.Key);
@@ -36,7 +37,7 @@
     add(std::move(NewRecord));
   }
 
-  /// \p Outcome None gives the task back to its home.
+  /// Records the end of a task; \p Outcome None returns it to its home shard.
   void taskEnded(const AssignedTask &Task, TaskOutcome Outcome, const std::string &Detail,
                  WallTime When) {
     wire::Record NewRecord;
--- a/src/jobs/home_shard.cpp
+++ b/src/jobs/home_shard.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The decisions of a job's home shard: acceptance, lending, ends, cancels.
+// The decisions of a job's home shard: accepting the job, lending its tasks to running shards,
+// recording their ends, and cancelling.
 #include "jobs/decision_tools.h"
 
 #include <algorithm>
@@ -8,9 +9,9 @@
 namespace valveshelf {
 namespace {
 
-// A service task that ended is started again after this long.
+// Delay before the restart of a service task that has ended.
 constexpr Milliseconds ServiceRestartPause{500};
-// A gang that found no room for all tries again after this long.
+// Delay before the next attempt to place a gang.
 constexpr Milliseconds GangPause{300};
 
 std::vector<uint32_t> waitingTasks(const HomeJob &Job, TimePoint Now) {
@@ -72,7 +73,7 @@
   wire::TasksReclaimed &Reclaimed = *NewRecord.mutable_tasks_reclaimed();
   Reclaimed.set_job(Status.key().job());
   Reclaimed.add_index(Status.key().index());
-  // Above every attempt that the shard knew, so that a late copy of the old lend is told apart.
+  // Above every attempt known to that shard, so that it ignores late copies of the old lend.
   Reclaimed.add_next_attempt(Status.attempt() + 1);
   Recorder(State, Out, Now).add(std::move(NewRecord));
 }
@@ -191,7 +192,7 @@
       continue;
     HomeJob &Job = Found->second;
     HomeTask &Task = Job.Tasks[Status.key().index()];
-    // A status of an earlier lend is acknowledged and otherwise passed over.
+    // A status of an earlier lend is acknowledged and otherwise ignored.
     if (Task.Phase != HomePhase::Lent || Task.Shard != Report.from() ||
         Status.attempt() < Task.NextAttempt)
       continue;
