--- a/src/jobs/running_shard.cpp
+++ b/src/jobs/running_shard.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The decisions of the shard that runs tasks: adoption, starts, evidence, ends.
+// The decisions of the shard that runs tasks: adopting lent tasks, starting them on workers, and
+// tracking them through the workers' reports until they end.
 #include "jobs/decision_tools.h"
 #include "placement/fit.h"
 
@@ -23,7 +24,7 @@
   return Found == State.Workers.end() ? nullptr : Found->second.get();
 }
 
-// The task surely does not run any more and left no result.
+// Ends or requeues a task that is known not to run any more and left no result.
 void resolveLostTask(ShardState &State, Decision &Out, AssignedTask &Task, const std::string &Why,
                      TimePoint Now, WallTime Wall) {
   Recorder Record(State, Out, Now);
@@ -34,7 +35,7 @@
   Record.startVoid(Task, Why, false);
 }
 
-// True if most workers are fine, so that a row of failures speaks against this one.
+// True if few workers fail tasks repeatedly, so that the worker and not the tasks is at fault.
 bool mostWorkersHealthy(const ShardState &State, const DecisionLimits &Limits) {
   size_t Ready = 0;
   size_t Failing = 0;
@@ -78,13 +79,13 @@
   Worker.RecentFailures = 0;
   if (Worker.Health == WorkerHealth::Suspect) {
     setHealth(State, Worker, WorkerHealth::Ready);
-    Out.Notices.push_back({&events::WorkerCleared, Worker.Box.Name, "a probe ran well"});
+    Out.Notices.push_back({&events::WorkerCleared, Worker.Box.Name, "a probe succeeded"});
   }
   Recorder(State, Out, Now).taskEnded(Task, TaskOutcome::Succeeded, Detail, When);
 }
 
-// A task that outgrew its booking gets more room if the box has it; if not, it is the one that
-// is held to its size, and not its neighbours.
+// Increases the booking of a task that exceeds it if the worker has free capacity; otherwise
+// throttles the task, so that other tasks on the worker are not affected.
 void enforceBooking(ShardState &State, Decision &Out, AssignedTask &Task, WorkerState &Worker,
                     const TaskReport &Listed) {
   if (fits(Listed.Usage, Task.Booked))
@@ -104,7 +105,7 @@
   if (Task.Phase == AssignedPhase::Starting) {
     Task.Phase = AssignedPhase::Running;
     State.Dirty.insert(Task.Key);
-    // It may have arrived only now, long after it was sent.
+    // The start request may have arrived just now, long after it was sent.
     Task.LeaseEnds = std::max(Task.LeaseEnds, Now + Limits.TaskLease);
     ++State.Starts;
     Out.Notices.push_back({&events::TaskStarted, toString(Task.Key), Worker.Box.Name});
@@ -131,8 +132,8 @@
   }
 }
 
-// Takes in one listed task. Tasks that are not ours are stopped; until they end, their room
-// counts as taken.
+// Handles one listed task. Tasks that this shard did not start are stopped; until they end, their
+// usage reduces the free capacity of the worker.
 void onListed(ShardState &State, Decision &Out, WorkerState &Worker, const TaskReport &Listed,
               std::set<TaskKey> &Seen, const DecisionLimits &Limits, TimePoint Now, WallTime Wall) {
   const bool Runs = Listed.Status == TaskReport::State::Running;
@@ -154,8 +155,8 @@
   Out.Controls.push_back({Worker.Box.Name, Worker.Box.Address, Listed.Id});
 }
 
-// A worker that was away may still have a start in its socket. What its lists do not show
-// counts from now on only.
+// A worker that did not respond may still have a start request in its socket. Only lists requested
+// from now on can show that a start was lost.
 void resetUncertainty(ShardState &State, const WorkerState &Worker, TimePoint Now) {
   for (const TaskKey &Key : Worker.AssignedTasks) {
     AssignedTask &Task = State.AssignedTasks.at(Key);
@@ -164,7 +165,7 @@
   }
 }
 
-// Judges a part that holds room on the worker but is not in its list.
+// Handles a task that is booked on the worker but missing from its list.
 void onNotListed(ShardState &State, Decision &Out, AssignedTask &Task, bool Restarted,
                  const DecisionLimits &Limits, TimePoint AskedAt, TimePoint Now, WallTime Wall) {
   if (Task.Phase == AssignedPhase::Running) {
@@ -176,7 +177,8 @@
       (Task.Uncertainty == StartUncertainty::Predecessor && State.PredecessorGone);
   if (!IsUncertain || Task.CallInFlight || AskedAt < Task.UncertainSince + Limits.SettleTime)
     return;
-  // Two lists after the last byte could have arrived, from a worker that answers.
+  // Requires two lists from a responding worker after the last byte of the request could have
+  // arrived.
   if (++Task.ListsWithoutTask < 2)
     return;
   resolveLostTask(State, Out, Task, "no list of its worker shows the start", Now, Wall);
@@ -189,7 +191,8 @@
   return !isHeldBack(*Task.Spec, Config) && withinQuota(State, *Task.Spec, Config, Elsewhere);
 }
 
-// A worker that is due for a probe, for a task that may be repeated.
+// Returns a suspect worker that is due for a probe and fits the task, or null. Only repeatable
+// batch tasks are used as probes.
 WorkerState *findWorkerToProbe(ShardState &State, const AssignedTask &Task,
                                const CellConfig &Config, TimePoint Now) {
   if (!Task.Spec->Repeatable || Task.Spec->Class != JobClass::Batch)
@@ -205,7 +208,7 @@
   return nullptr;
 }
 
-// What could not be placed in this round; equal tasks behind it are not tried again.
+// Requirements that could not be placed in this round; later tasks with the same ones are skipped.
 struct UnplaceableShapes {
   std::set<std::tuple<std::string, std::string, int64_t, int64_t, int64_t>> Shapes;
 
@@ -269,7 +272,7 @@
     if (Dropped != State.Tombstones.end() && Attempt <= Dropped->second.Attempt)
       continue;
     if (const AssignedTask *Held = findAssignedTask(State, Key)) {
-      // A higher attempt says that the home has recorded the end or return held here.
+      // A higher attempt shows that the home shard has recorded the end or return.
       const bool Settled =
           Held->Phase == AssignedPhase::Ended || Held->Phase == AssignedPhase::Returned;
       if (!Settled || Attempt <= Held->Attempt)
@@ -312,7 +315,7 @@
   for (auto Next = State.Queue.begin(); Next != State.Queue.end();) {
     if (Out.Starts.size() >= Limits.MaxStartsPerRound || ++Scanned > Limits.MaxScannedPerRound)
       break;
-    // A start takes its own entry out of the queue and no other.
+    // A start removes only its own entry from the queue.
     const TaskKey Key = Next->second;
     ++Next;
     AssignedTask &Task = State.AssignedTasks.at(Key);
@@ -389,7 +392,7 @@
         Task.LeaseEnds = std::max(Task.LeaseEnds, Now + Limits.TaskLease);
       continue;
     }
-    // A start that was answered after the list was asked for can't be in it.
+    // A start confirmed after the list was requested may be missing from it.
     const bool StartedSince = Task.LeaseEnds >= AskedAt + Limits.TaskLease;
     if (!(Task.Phase == AssignedPhase::Running && StartedSince))
       onNotListed(State, Out, Task, Restarted, Limits, AskedAt, Now, Wall);
@@ -409,8 +412,8 @@
   WorkerState *Worker = findWorker(State, WorkerName);
   if (!Worker)
     return Out;
-  // The lost renewal may be read as late as the lease still runs, and then extends it once more.
-  // No other is sent until a call without one was answered, so once is all.
+  // The worker may read the lost renewal just before the lease ends, which extends it by one more
+  // period. No further renewal is sent until a call without one has succeeded.
   if (Renewed)
     for (const TaskKey &Key : Worker->AssignedTasks)
       State.AssignedTasks.at(Key).LeaseEnds += Limits.TaskLease;
@@ -419,7 +422,7 @@
   if (Worker->Health == WorkerHealth::Ready || Worker->Health == WorkerHealth::Suspect) {
     setHealth(State, *Worker, WorkerHealth::Lost);
     Out.Notices.push_back({&events::WorkerLost, WorkerName,
-                           std::to_string(Worker->AssignedTasks.size()) + " tasks were there"});
+                           std::to_string(Worker->AssignedTasks.size()) + " tasks assigned"});
   }
   return Out;
 }
@@ -438,7 +441,7 @@
   for (auto &[Name, Worker] : State.Workers) {
     if (Listed.count(Name) || Worker->Health == WorkerHealth::Gone)
       continue;
-    // A box that still answers is not gone, whatever the lagging list says.
+    // The list lags; a worker that still responds is not gone.
     if (Worker->Health == WorkerHealth::Ready || Worker->Health == WorkerHealth::Suspect)
       continue;
     setHealth(State, *Worker, WorkerHealth::Gone);
@@ -459,8 +462,7 @@
       continue;
     for (const TaskKey &Key : Worker->AssignedTasks) {
       const AssignedTask &Task = State.AssignedTasks.at(Key);
-      // Only a task that surely was started has a lease that can lapse; a start in doubt may
-      // still arrive and begin a new one.
+      // An uncertain start may still arrive and begin a new lease, so only confirmed ones expire.
       if (Task.Phase == AssignedPhase::Running && Now >= Task.LeaseEnds + Limits.LeaseMargin)
         Lapsed.push_back(Key);
     }
@@ -569,7 +571,7 @@
   for (auto &[Key, Task] : State.AssignedTasks) {
     if (Task.Uncertainty == StartUncertainty::Predecessor)
       Task.UncertainSince = Now;
-    // Its last renewal may be read as late as the lease still runs.
+    // A worker may read the predecessor's last renewal just before the lease ends.
     Task.LeaseEnds = std::max(Task.LeaseEnds, Now + 2 * Limits.TaskLease);
   }
 }
