--- a/src/jobs/shard_state.cpp
+++ b/src/jobs/shard_state.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// How records change a shard, and the snapshot that rebuilds it.
+// Applies journal records to the state of a shard, and builds the snapshot that restores it.
 #include "valveshelf/shard_state.h"
 
 #include <array>
@@ -7,21 +7,21 @@
 namespace valveshelf {
 namespace {
 
-// Where in the queue a part stands: the time of its acceptance plus what its class may wait.
-// Everything moves to the front with age, so nothing starves.
+// Queue position, lowest first: time of acceptance plus a delay by class, or the latest start for
+// the deadline if that is earlier. Later arrivals get higher positions, so that no task starves.
 double queueKeyOf(const JobSpec &Spec) {
   constexpr std::array<double, 4> ClassDelaySeconds{-3600.0, 0.0, 10.0, 600.0};
   const double Accepted = std::chrono::duration<double>(Spec.Accepted.time_since_epoch()).count();
   const double Usual = Accepted + ClassDelaySeconds.at(static_cast<size_t>(Spec.Class));
   if (Spec.FinishBy == WallTime{})
     return Usual;
-  // Declared run times are often far off; twice the declared leaves room for that.
+  // Allows for run times up to twice the estimate.
   const auto LatestStart = Spec.FinishBy - 2 * Spec.RunTime;
   const double Latest = std::chrono::duration<double>(LatestStart.time_since_epoch()).count();
   return std::min(Usual, Latest);
 }
 
-// Counts what a task has booked for its team and its partner; \p Sign is 1 or -1.
+// Adds a booking to the usage of its team and partner, or subtracts it if \p Sign is negative.
 void countUse(ShardState &State, const JobSpec &Spec, const Resources &Amount, int Sign) {
   for (const std::string &Key : {teamKey(Spec), Spec.Partner}) {
     Resources &Use = State.TeamUse[Key];
@@ -102,7 +102,7 @@
   Task.Phase = Phase;
 }
 
-// Keeps OpenJobs true to the job's counts.
+// Updates OpenJobs from the job's counts.
 void updateOpenJobs(ShardState &State, const HomeJob &Job) {
   if (Job.Ended == Job.Tasks.size())
     State.OpenJobs.erase(Job.Spec->Id);
@@ -284,7 +284,7 @@
   return Wire;
 }
 
-// The records of one home job.
+// Appends the records that rebuild one job of this home shard.
 void snapshotJob(uint32_t Shard, const HomeJob &Job, std::vector<wire::Record> &Out) {
   const auto Add = [&]() -> wire::Record & {
     Out.emplace_back().set_shard(Shard);
@@ -310,7 +310,7 @@
     }
   }
   if (Attempts.index_size() > 0) {
-    // Reclaiming only concerns lent tasks, so lend them first.
+    // Only lent tasks can be reclaimed, so they are lent first.
     wire::TasksLent &Lent = *Add().mutable_tasks_lent();
     Lent.set_job(Job.Spec->Id);
     *Lent.mutable_index() = Attempts.index();
