--- a/src/jobs/job.cpp
+++ b/src/jobs/job.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Names and the JSON form of jobs.
+// Names of the job enumerations, and conversion of jobs from and to JSON.
 #include "valveshelf/job.h"
 
 #include <boost/json.hpp>
@@ -25,7 +25,7 @@
   return std::nullopt;
 }
 
-// Reads members of one JSON object and remembers the first thing that is wrong.
+// Reads the members of a JSON object and keeps the first error.
 class JsonReader {
 public:
   explicit JsonReader(const json::object &Object) : Object(Object) {}
@@ -35,7 +35,7 @@
     if (!Found)
       return Default;
     if (!Found->is_string())
-      fail(Key, "has the wrong type; accepted is a string");
+      fail(Key, "is not a string");
     return Found->is_string() ? std::string(Found->as_string()) : Default;
   }
   int64_t integer(std::string_view Key, int64_t Default, int64_t Least, int64_t Most) {
@@ -54,19 +54,19 @@
     if (!Found)
       return Default;
     if (!Found->is_bool())
-      fail(Key, "has the wrong type; accepted are true and false");
+      fail(Key, "is not true or false");
     return Found->is_bool() ? Found->as_bool() : Default;
   }
   Labels labels(std::string_view Key) {
     Labels Read;
     const json::value *Found = find(Key);
     if (Found && !Found->is_object())
-      fail(Key, "has the wrong type; accepted is an object of strings");
+      fail(Key, "is not an object of strings");
     if (!Found || !Found->is_object())
       return Read;
     for (const auto &[Name, Value] : Found->as_object()) {
       if (!Value.is_string())
-        fail(Key, "holds a value that is not a string");
+        fail(Key, "contains a value that is not a string");
       else
         Read[std::string(Name)] = std::string(Value.as_string());
     }
@@ -102,10 +102,10 @@
 void readNames(JsonReader &Read, JobSpec &Spec) {
   Spec.Id = Read.text("id", "");
   if (!isPlainId(Spec.Id))
-    Read.fail("id", "may hold only letters, digits, '-', '_' and '.', at most 128");
+    Read.fail("id", "must consist of at most 128 letters, digits, '-', '_' and '.'");
   Spec.Partner = Read.text("partner", "");
   if (Spec.Partner.empty() || !isPlainId(Spec.Partner))
-    Read.fail("partner", "is missing or holds characters that are not accepted");
+    Read.fail("partner", "is missing, too long or contains invalid characters");
   Spec.Team = Read.text("team", "default");
   const auto Kind = parseKind(Read.text("kind", "batch"));
   if (!Kind)
