--- a/src/placement/fit.cpp
+++ b/src/placement/fit.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Filter and score of a placement decision: one pass over the shard's rooms.
+// Filters and scores the workers of a shard for a placement decision, in one pass.
 #include "placement/fit.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace valveshelf {
 namespace {
 
-// The operators' steering that concerns a workload.
+// Returns the operators' steering rules that match a workload.
 std::vector<const SteerConfig *> steeringOf(const JobSpec &Spec, const CellConfig &Config) {
   std::vector<const SteerConfig *> Found;
   const auto Partner = Config.Partners.find(Spec.Partner);
@@ -30,7 +30,7 @@
   return Key;
 }
 
-// The share of the room's scarcest dimension that would be taken after the placement, 0 to 1.
+// Returns the utilisation of the scarcer of processors and memory after the placement, 0 to 1.
 double fullness(const PlacementCandidate &Candidate, const Resources &Size) {
   const auto Share = [](int64_t Free, int64_t Take, int64_t Whole) {
     return Whole > 0 ? 1.0 - static_cast<double>(Free - Take) / static_cast<double>(Whole) : 0.0;
@@ -39,7 +39,7 @@
                   Share(Candidate.Free.MemoryMb, Size.MemoryMb, Candidate.Capacity.MemoryMb));
 }
 
-// Accelerators are kept for tasks that ask for them.
+// Keeps workers with accelerators free for tasks that request them.
 constexpr double AcceleratorPenalty = 10.0;
 
 double scoreOf(const PlacementCandidate &Candidate, const JobSpec &Spec,
@@ -51,7 +51,7 @@
   return Score;
 }
 
-// A selector cache that outgrows this is dropped; a cell uses far fewer distinct selectors.
+// The selector cache is cleared when it reaches this size.
 constexpr size_t MaxCachedSelectors = 512;
 
 } // namespace
--- a/src/placement/fit.h
+++ b/src/placement/fit.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Which workers a task may run on, and which of them is best.
+// Selects the worker for a task: which ones it may run on, and which of them is best.
 #pragma once
 
 #include "valveshelf/cell_config.h"
@@ -7,16 +7,16 @@
 
 namespace valveshelf {
 
-/// The rooms that the task's own selector and the operators' steering allow, one flag a room.
-/// Cached in \p State until workers or configuration change.
+/// Returns one flag for each of ShardState::Candidates: true if the task's selector and the
+/// operators' steering allow it. Cached in \p State until workers or configuration change.
 const std::vector<char> &selectedCandidates(ShardState &State, const JobSpec &Spec,
                                             const CellConfig &Config);
 
-/// True if steering holds the workload back.
+/// True if the operators' steering holds the workload back.
 bool isHeldBack(const JobSpec &Spec, const CellConfig &Config);
 
-/// The best usable worker with room for the task, or null. \p Avoid is passed over if there is
-/// another.
+/// Returns the best usable worker with capacity for the task, or null. Chooses \p Avoid only if no
+/// other worker fits.
 WorkerState *bestWorker(ShardState &State, const JobSpec &Spec, const CellConfig &Config,
                         const std::string &Avoid);
 
--- a/src/placement/placement_bench.cpp
+++ b/src/placement/placement_bench.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// One placement decision at the size of the users' letter, and how it grows with the workers.
+// Measures placement decisions by number of workers, and the replay of a shard's journal.
 #include "valveshelf/shard_decisions.h"
 
 #include <benchmark/benchmark.h>
@@ -12,7 +12,7 @@
 
 constexpr double TasksPerWorker = 42000.0 / 7700.0;
 
-// A shard with that many workers, each with its share of the letter's running tasks.
+// A shard with a given number of workers, each loaded with TasksPerWorker tasks on average.
 class LoadedShard {
 public:
   explicit LoadedShard(int Workers) {
@@ -51,7 +51,7 @@
     return placeQueued(State, Config, true, Nothing, Limits, Now, Wall);
   }
 
-  // Ends one task, so that the cell stays as full as it was.
+  // Drops one task, so that the load stays constant.
   void dropRandomTask() {
     auto Found = State.AssignedTasks.lower_bound({"j" + std::to_string(1 + Random() % Jobs), 0});
     if (Found == State.AssignedTasks.end())
@@ -101,7 +101,7 @@
 }
 BENCHMARK(placeOne)->Arg(100)->Arg(1000)->Arg(7700)->Arg(10000)->Iterations(3000);
 
-// A burst of decisions in one round, as under load.
+// Many decisions in one round.
 void placeBurst(benchmark::State &Run) {
   constexpr int Burst = 256;
   LoadedShard Shard(static_cast<int>(Run.range(0)));
@@ -118,7 +118,7 @@
 }
 BENCHMARK(placeBurst)->Arg(481)->Arg(7700)->Iterations(30);
 
-// What a successor does first: replay a shard's journal.
+// Replay of a shard's journal, as after a takeover.
 void replay(benchmark::State &Run) {
   ShardState Full;
   for (int I = 0; I < Run.range(0); ++I) {
--- a/src/placement/shard_directory.cpp
+++ b/src/placement/shard_directory.cpp
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-// The choice of a shard for a task: what could hold it, and who has room.
+// Chooses the shards for tasks: those with a suitable box, by reported free capacity and queue
+// length.
 #include "valveshelf/shard_directory.h"
 
 #include <algorithm>
 
 namespace valveshelf {
 namespace {
-// Room told longer ago than this is not counted on.
+// Reported loads older than this are not used for placement.
 constexpr std::chrono::seconds StaleAfter{10};
 constexpr size_t MaxCachedShapes = 1024;
 
@@ -114,13 +115,12 @@
       ++Selected;
       Most = componentMax(Most, Box.Capacity);
     }
-  return "no box could ever hold a task of " + std::to_string(Spec.Size.MilliCores) +
-         " milli-cores, " + std::to_string(Spec.Size.MemoryMb) + " MB and " +
-         std::to_string(Spec.Size.Accelerators) + " accelerators: of " + std::to_string(Known) +
-         " boxes " + std::to_string(Selected) +
-         " match the selector, and the most that these have is " + std::to_string(Most.MilliCores) +
-         " milli-cores, " + std::to_string(Most.MemoryMb) + " MB and " +
-         std::to_string(Most.Accelerators) + " accelerators";
+  return "no box can hold a task of " + std::to_string(Spec.Size.MilliCores) + " milli-cores, " +
+         std::to_string(Spec.Size.MemoryMb) + " MB and " + std::to_string(Spec.Size.Accelerators) +
+         " accelerators: of " + std::to_string(Known) + " boxes, " + std::to_string(Selected) +
+         " match the selector, and the largest amounts among these are " +
+         std::to_string(Most.MilliCores) + " milli-cores, " + std::to_string(Most.MemoryMb) +
+         " MB and " + std::to_string(Most.Accelerators) + " accelerators";
 }
 
 bool ShardDirectory::hasRoomElsewhere(const JobSpec &Spec, uint32_t ExceptShard,
@@ -173,7 +173,7 @@
     for (uint32_t I = 0; I < Take; ++I)
       Load.Free -= Spec.Size;
   }
-  // The rest waits where the queues are shortest for the boxes there are.
+  // The rest goes to the shards with the shortest queues relative to their number of workers.
   while (Left > 0) {
     uint32_t Best = Capable.front();
     double BestQueue = 1e18;
