--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Requests: matching, waiting for a slot, passing through, and what may be tried again.
+// Handles a request: matches the route, waits for a slot, forwards it, and retries where that is
+// safe.
 #include "valveshelf/router.h"
 #include "valveshelf/steady_timer.h"
 
@@ -18,14 +19,14 @@
 constexpr int MaxTries = 3;
 constexpr int HttpServiceUnavailable = 503;
 constexpr size_t ChunkSize = 16 * 1024;
-// A body up to this size is kept, so that the request can be tried at another instance.
+// Bodies up to this size are kept, so that the request can be retried at another instance.
 constexpr size_t MaxReplayBytes = 256 * 1024;
-// A member cut off from the store that owns no shard has lost its promises after so long.
+// Time after which a member without shards that is cut off from the store has lost its promises.
 constexpr std::chrono::seconds PromiseTimeout{4};
-// A slot comes into use when the shares are next looked at, which the entry process does five times
-// a second; and with less than a tenth of a route's deadline left, a request that was given a slot
-// was sent and given up, so that its caller did not know whether it ran.
+// Interval at which `refresh` is called; a slot becomes usable in the next call.
 constexpr Milliseconds SlotRefreshInterval{200};
+// A request does not wait for a slot that leaves it less than 1/N of the route's deadline: it would
+// be sent and time out, and its caller would not know whether it ran.
 constexpr int MinWorkTimeDivisor = 10;
 constexpr std::string_view ServicePrefix = "/svc";
 
@@ -48,7 +49,7 @@
   return Path.size() == Prefix.size() || Prefix.back() == '/' || Path[Prefix.size()] == '/';
 }
 
-// Fields that this process writes itself.
+// Headers that this process sets itself.
 bool isRewrittenHeader(std::string_view Name) {
   return boost::iequals(Name, "Content-Length") || boost::iequals(Name, "Host") ||
          boost::iequals(Name, "Expect");
@@ -69,7 +70,8 @@
   return Text.empty() || Code != std::errc() ? std::nullopt : std::optional(Length);
 }
 
-// A deadline that the caller set itself, as `Valveshelf-Deadline-Ms`.
+// Returns the deadline from the caller's `Valveshelf-Deadline-Ms` header, at most that of the
+// route.
 Milliseconds callerDeadline(const HeaderList &Headers, Milliseconds Route) {
   const std::string_view Text = findHeader(Headers, "Valveshelf-Deadline-Ms");
   int64_t Wanted = 0;
@@ -80,16 +82,16 @@
 }
 } // namespace
 
-// What the tries of one request share.
+// State shared by all tries of one request.
 struct Router::RequestState {
-  std::string Body;          ///< What was read from the caller so far, if it is kept.
-  bool BodyComplete = false; ///< All of the caller's body is in Body.
-  bool Streaming = false;    ///< The body is too large to be kept: one try only.
-  bool Answered = false;     ///< A byte of the answer went to the caller.
+  std::string Body;          ///< The caller's body as far as it is kept.
+  bool BodyComplete = false; ///< Body holds the complete body.
+  bool Streaming = false;    ///< The body is too large to be kept, which rules out a retry.
+  bool Answered = false;     ///< The response to the caller has begun.
   bool Repeatable = false;
   Error Last;
 
-  // What was once sent and lost stays unknown, whatever later tries say.
+  // A request that was sent and lost has an unknown outcome, whatever later tries return.
   void recordError(const Error &Why) {
     if (Last.Kind != ErrorKind::UpstreamCut)
       Last = Why;
@@ -109,8 +111,8 @@
   return slotsReady(Slots, Tools.Time.Now());
 }
 
-// Who has a share of the slots: the members, and those whose lease is gone but who may still go
-// on by promises. These are over once their shards are claimed, since that fences them.
+// Returns the members that have a share of the slots, including those whose lease has expired but
+// which may continue on their peers' promises. A claim of their shards fences them and ends that.
 std::vector<std::string> Router::slotHolders(const CellView &View, TimePoint Now) {
   std::map<std::string, std::string> Present;
   for (const auto &[Log, Member] : View.Members)
@@ -171,13 +173,14 @@
       Owner = &Part;
     }
   if (Config->Version == 0)
-    return Error{ErrorKind::UpstreamUnavailable, "this process has not got the configuration yet"};
+    return Error{ErrorKind::UpstreamUnavailable,
+                 "this process has not received the configuration yet"};
   if (!Best)
-    return Error{ErrorKind::NotFound, "no route of the configuration matches " + std::string(Path)};
+    return Error{ErrorKind::NotFound, "no configured route matches " + std::string(Path)};
   for (const ServiceConfig &Service : Owner->Services)
     if (Service.Name == Best->Service)
       return Target{*Best, Service};
-  return Error{ErrorKind::NotFound, "there is no service " + Best->Service};
+  return Error{ErrorKind::NotFound, "the route's service is not configured: " + Best->Service};
 }
 
 bool Router::knowsInstances(const std::string &Service) {
@@ -185,10 +188,8 @@
   return earliestSlot(Slots, Service, Tools.Time.Now()).has_value();
 }
 
-// Called under Mutex. Why a request that finds no slot free need not wait for one; empty: it may
-// get one in time. Held until its deadline it would learn nothing more, and its caller would not
-// ask another process meanwhile (four callers got 114 answers in 9.7 s while three processes were
-// stopped and started again in turn, and 531 with this).
+// Requires Mutex. Returns a refusal if a request without a slot cannot get one before its deadline,
+// so that its caller can try another process at once; nullopt if it may wait.
 std::optional<Router::SlotRefusal> Router::refusal(const Target &To, TimePoint Deadline,
                                                    TimePoint Now) const {
   const std::string &Service = To.Service.Name;
@@ -197,17 +198,18 @@
   };
   const std::chrono::seconds Usual = answerFor(ErrorKind::Overloaded).RetryAfter;
   if (!Tools.MayAct())
-    return Refused("this process may not use its share of the slots now", Usual);
+    return Refused("this process may not use its slots at present", Usual);
   const std::optional<TimePoint> First = earliestSlot(Slots, Service, Now);
   if (!First)
-    return Refused("no instance of " + Service + " is known here", Usual);
+    return Refused("no instance of " + Service + " is known to this process", Usual);
   if (*First == TimePoint::max())
-    return Refused("this process has no slot of " + Service, Usual);
-  // Other members use these slots meanwhile; a caller that asks one of them need not wait.
+    return Refused("this process owns no slot of " + Service, Usual);
+  // Other members still use these slots, so a caller may try them without waiting.
   const bool IsAlone = Tools.View()->Members.size() < 2;
   if (*First > Now &&
       *First + SlotRefreshInterval + To.Route.Deadline / MinWorkTimeDivisor > Deadline)
-    return Refused("the slots of " + Service + " can't be used here before the deadline",
+    return Refused("the slots of " + Service +
+                       " are not usable by this process before the deadline",
                    IsAlone ? std::chrono::ceil<std::chrono::seconds>(*First - Now) : Usual);
   const auto Waiting = Slots.Services.find(Service);
   const size_t SameClass = Waiting == Slots.Services.end()
@@ -215,7 +217,8 @@
                                : Waiting->second.Waiting.count(static_cast<int>(To.Route.Class));
   const Milliseconds Expected = expectedWait(Slots, Service, To.Route.Class);
   if (SameClass >= Slots.Limits.MaxWaiting || Now + Expected > Deadline)
-    return Refused("no slot of " + Service + " comes free in time", Usual);
+    return Refused("no slot of " + Service + " is expected to become free before the deadline",
+                   Usual);
   return std::nullopt;
 }
 
@@ -227,7 +230,7 @@
     explicit Wait(Executor Where) : Timer(asio::make_strand(Where)) {}
   };
   if (!knowsInstances(To.Service.Name))
-    refresh(); // the service may be new in the configuration
+    refresh(); // The service may be new in the configuration.
   auto Waiting = std::make_shared<Wait>(Tools.Where);
   auto Waiter = std::make_shared<SlotWaiter>();
   const std::string &Service = To.Service.Name;
@@ -255,12 +258,13 @@
     co_return *Waiting->Granted;
   std::erase_if(Slots.Services[Service].Waiting,
                 [&](const auto &Entry) { return Entry.second == Waiter; });
-  co_return SlotRefusal{{ErrorKind::Overloaded, "no slot of " + Service + " came free in time"},
-                        answerFor(ErrorKind::Overloaded).RetryAfter};
+  co_return SlotRefusal{
+      {ErrorKind::Overloaded, "no slot of " + Service + " became free before the deadline"},
+      answerFor(ErrorKind::Overloaded).RetryAfter};
 }
 
 namespace {
-// Sends the rest of the caller's body as it comes.
+// Streams the rest of the caller's body to the upstream.
 Awaitable<Result<Done>> streamBody(HttpExchange &Exchange, HttpCall &Call) {
   std::array<char, ChunkSize> Buffer;
   while (true) {
@@ -276,7 +280,7 @@
   }
 }
 
-// Passes the answer's body on. False: it was cut on either side.
+// Streams the response body to the caller. Returns false if either side cut it off.
 Awaitable<bool> streamAnswer(HttpExchange &Exchange, HttpCall &Call) {
   std::array<char, ChunkSize> Buffer;
   while (true) {
@@ -292,8 +296,8 @@
 }
 } // namespace
 
-// One try at one instance. True: the request has its answer, whole or cut. False: State.Last
-// says why not, and nothing of an answer went to the caller.
+// Tries the request at one instance. Returns true once a response to the caller has begun, complete
+// or not; false if nothing was sent to the caller, with the reason in State.Last.
 Awaitable<bool> Router::tryInstance(HttpExchange &Exchange, const SlotGrant &Slot,
                                     TimePoint Deadline, RequestState &State) {
   CallOptions Options;
@@ -326,7 +330,7 @@
     co_return false;
   }
   HttpResponse &Got = value(Answer);
-  // An upstream that says so itself has surely not run the request.
+  // The upstream guarantees that it did not run the request.
   if (Got.Status == HttpServiceUnavailable &&
       findHeader(Got.Headers, "Valveshelf-Outcome") == "not-run") {
     State.recordError({ErrorKind::UpstreamUnavailable, Slot.Instance + " refused the request"});
@@ -338,7 +342,7 @@
   Headers.emplace_back("Valveshelf-Upstream", Slot.Instance);
   if (!co_await Exchange.writeHead(Got.Status, Headers, declaredLength(Got.Headers)))
     co_return true;
-  // A cut answer is left unfinished, so the caller can't take it for whole.
+  // A truncated response is not finished, so that the caller can detect it.
   if (!co_await streamAnswer(Exchange, *Call))
     ++Stats.Truncated;
   co_return true;
@@ -356,7 +360,7 @@
   RequestState State;
   State.Repeatable =
       To.Route.Repeatable && findHeader(Exchange.headers(), "Valveshelf-Repeatable") != "no";
-  // A small body is read first, so that a request that surely did not run can be tried again.
+  // A small body is read completely, so that a request that was not run can be retried.
   std::array<char, ChunkSize> Buffer;
   while (Exchange.hasBody() && !State.BodyComplete && State.Body.size() < MaxReplayBytes) {
     Result<size_t> Read = co_await Exchange.readBody(Buffer);
--- a/src/routing/slot_table.cpp
+++ b/src/routing/slot_table.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Slots: sharing them out without messages, giving them out by class.
+// Assigns slots to processes without coordination, and grants them to requests by class.
 #include "valveshelf/slot_table.h"
 
 #include <xxhash.h>
@@ -31,7 +31,7 @@
   return !Instance.Leaving && Now >= Instance.EjectedUntil && Instance.InUse < Instance.Usable;
 }
 
-// Heavy work leaves some of the service's slots to quick work.
+// Reserves part of the service's slots for urgent and quick requests.
 bool reserveAllows(const SlotTable &Table, const ServiceSlots &Service, JobClass Class) {
   if (isQuick(Class))
     return true;
@@ -94,7 +94,7 @@
         Table.OwnedSince.erase(Key);
         continue;
       }
-      // The slot's last owner may still use it.
+      // The previous owner of the slot may still use it.
       const auto Held = Table.OwnedSince.emplace(Key, NewHere ? Table.JoinedAt : Now).first;
       const TimePoint UsableFrom = Held->second + Table.Limits.SlotQuarantine;
       Instance.Usable += Now >= UsableFrom ? 1 : 0;
