--- a/src/traffic/traffic.cpp
+++ b/src/traffic/traffic.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The counts of messages, to and from JSON.
+// Counts messages, and converts the counts to and from JSON.
 #include "valveshelf/traffic.h"
 
 #include <boost/json.hpp>
@@ -54,18 +54,18 @@
 
 Result<TrafficStats> decodeTraffic(std::string_view Text) {
   const auto Wrong = [](const std::string &Field) {
-    return Error{ErrorKind::BadRequest, "traffic: " + Field + " is missing or no count"};
+    return Error{ErrorKind::BadRequest, "traffic: " + Field + " is missing or not a count"};
   };
   json::error_code Failure;
   const json::value Root = json::parse(Text, Failure);
   if (Failure || !Root.is_object())
-    return Error{ErrorKind::BadRequest, "traffic: it is no JSON object"};
+    return Error{ErrorKind::BadRequest, "traffic: not a JSON object"};
   const json::value *Time = Root.as_object().if_contains("ms");
   if (!Time || !Time->is_int64() || Time->as_int64() < 0)
     return Wrong("ms");
   const json::value *Kinds = Root.as_object().if_contains("kinds");
   if (!Kinds || !Kinds->is_object())
-    return Error{ErrorKind::BadRequest, "traffic: kinds is missing or no object"};
+    return Error{ErrorKind::BadRequest, "traffic: kinds is missing or not an object"};
   TrafficStats Stats;
   Stats.Duration = Milliseconds(Time->as_int64());
   for (const auto &[Kind, Row] : Kinds->as_object()) {
--- a/src/traffic/traffic_report.cpp
+++ b/src/traffic/traffic_report.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The traffic of a cell as a table, as JSON and as a page with plots.
+// Reports the traffic of a cell as a table, as JSON and as an HTML page with bar charts.
 #include "valveshelf/traffic.h"
 
 #include <boost/json.hpp>
@@ -13,18 +13,18 @@
 
 namespace {
 constexpr double BytesPerKb = 1000;
-// A plot's height and the width of a process in it, in pixels.
+// Height of a chart and width of its bars, in pixels.
 constexpr int PlotHeight = 60;
 constexpr int ProcessWidth = 4;
 
-/// A kind of message over a whole cell.
+/// Traffic of one kind of message over a cell.
 struct KindSummary {
   std::string Kind;
   TrafficCounts Sum;
-  double CallsPerSecond = 0;     ///< Of all processes together,
-  double KbPerSecond = 0;        ///< both ways.
-  double PeakCallsPerSecond = 0; ///< Of the process that makes most, a second,
-  std::string PeakProcess;       ///< and which that is.
+  double CallsPerSecond = 0;     ///< Of all processes.
+  double KbPerSecond = 0;        ///< Of all processes, sent and received.
+  double PeakCallsPerSecond = 0; ///< Of the busiest process.
+  std::string PeakProcess;       ///< Address of the busiest process.
 };
 
 double seconds(const TrafficStats &Stats) {
@@ -94,7 +94,7 @@
 std::string trafficPage(const std::vector<ProcessTraffic> &Cell) {
   std::ostringstream Out;
   Out << "<!doctype html><meta charset=\"utf-8\"><title>Traffic of a cell</title>\n<h1>Traffic of "
-      << Cell.size() << " processes</h1>\n<p>Calls a second by kind; a bar for each process, the "
+      << Cell.size() << " processes</h1>\n<p>Calls per second by kind, one bar per process, "
       << "busiest first.</p>\n";
   for (const KindSummary &One : summarize(Cell)) {
     std::vector<double> Bars;
@@ -109,9 +109,9 @@
       Out << "<rect x=\"" << I * ProcessWidth << "\" y=\"" << PlotHeight - Bars[I] * Scale
           << "\" width=\"" << ProcessWidth - 1 << "\" height=\"" << Bars[I] * Scale
           << "\" fill=\"#48a\"/>";
-    Out << "</svg>\n<p>" << One.CallsPerSecond << " calls a second in all, "
+    Out << "</svg>\n<p>" << One.CallsPerSecond << " calls per second in total, "
         << One.PeakCallsPerSecond << " by " << One.PeakProcess << "; " << One.KbPerSecond
-        << " KB a second.</p>\n";
+        << " KB per second.</p>\n";
   }
   return Out.str();
 }
--- a/src/traffic/traffic_test.cpp
+++ b/src/traffic/traffic_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Counts of messages: sums over processes, and what tools read.
+// Tests counting, the JSON encoding and the reports of traffic.
 #include "valveshelf/traffic.h"
 
 #include <gtest/gtest.h>
@@ -38,10 +38,10 @@
     const Result<TrafficStats> Read = decodeTraffic(Text);
     return ok(Read) ? "" : error(Read).Detail;
   };
-  EXPECT_EQ(Why("{"), "traffic: it is no JSON object");
-  EXPECT_EQ(Why("{}"), "traffic: ms is missing or no count");
-  EXPECT_EQ(Why("{\"ms\":1}"), "traffic: kinds is missing or no object");
-  EXPECT_EQ(Why("{\"ms\":1,\"kinds\":{\"a\":{}}}"), "traffic: a.calls is missing or no count");
+  EXPECT_EQ(Why("{"), "traffic: not a JSON object");
+  EXPECT_EQ(Why("{}"), "traffic: ms is missing or not a count");
+  EXPECT_EQ(Why("{\"ms\":1}"), "traffic: kinds is missing or not an object");
+  EXPECT_EQ(Why("{\"ms\":1,\"kinds\":{\"a\":{}}}"), "traffic: a.calls is missing or not a count");
 }
 
 TEST(Traffic, ReportSumsProcessesAndNamesTheBusiest) {
