--- a/src/routing/router_test.cpp
+++ b/src/routing/router_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// When a request waits for a slot, and when it is refused.
+// Tests when a request waits for a slot and when it is refused at once. A refusal held until the
+// deadline keeps the caller from trying another process.
 #include "valveshelf/router.h"
 
 #include <boost/asio.hpp>
@@ -10,7 +11,7 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-// A request without a body; keeps the answer.
+// A request without a body; stores the response.
 class FakeExchange final : public HttpExchange {
 public:
   const std::string &method() const override { return Method; }
@@ -37,7 +38,7 @@
   const HeaderList Headers{};
 };
 
-// One process, e1, with one upstream at an address where nothing listens.
+// Process e1 with one upstream, u1, at an address where nothing listens.
 class RouterTest : public ::testing::Test {
 protected:
   RouterTest()
@@ -66,7 +67,7 @@
     Directory.setBoxes({Upstream});
   }
 
-  // The process has joined the cell so long ago.
+  // Lets the process have joined the cell \p Ago before now.
   void join(Milliseconds Ago) {
     ClockLag = Ago;
     Requests.onJoined();
@@ -81,7 +82,7 @@
     View = Members;
   }
 
-  // Serves one request; how long it was held.
+  // Serves one request and returns the time until its response.
   Milliseconds serve(FakeExchange &Exchange) {
     const TimePoint StartedAt = Steady::now();
     bool Finished = false;
@@ -99,7 +100,7 @@
   }
 
   asio::io_context Io;
-  Milliseconds ClockLag{0}; ///< How far the process's clock is behind, to set up what was before.
+  Milliseconds ClockLag{0}; ///< Subtracted from the process's clock.
   HttpClient Client;
   ShardDirectory Directory;
   std::shared_ptr<const CellConfig> Config;
@@ -107,21 +108,17 @@
   Router Requests;
 };
 
-// While all entry processes were stopped as planned and started again, one by one, four callers got
-// 49 answers where some hundreds were due. Each stop took 34 to 120 ms, but each caller was held
-// 2.0 s for a refusal by the process that had just come back:
-//   stop e1 13 to 47 ms; e1 not-run 503 after 2001 ms, asked at 172 ms
-// A slot is used 3 s after it moved here, so that it was clear at once that none would be in time.
+// A restarted process may use its slots only after the quarantine of 3 s, past the deadline of 2 s.
 TEST_F(RouterTest, RefusesAtOnceIfNoSlotIsUsableBeforeTheDeadline) {
   join(200ms);
   FakeExchange Exchange;
   EXPECT_LT(serve(Exchange), 500ms);
   EXPECT_EQ(Exchange.Answer.Status, 503);
   EXPECT_EQ(findHeader(Exchange.Answer.Headers, "Valveshelf-Outcome"), "not-run");
-  EXPECT_EQ(retryAfter(Exchange), "3") << "when the slots can be used";
+  EXPECT_EQ(retryAfter(Exchange), "3") << "seconds until the slots are usable";
 }
 
-// Others can serve the caller at once.
+// Another process can serve the caller at once.
 TEST_F(RouterTest, SuggestsEarlyRetryIfOtherProcessesHaveSlots) {
   setMembers({"e1", "e2"});
   join(200ms);
@@ -130,7 +127,7 @@
   EXPECT_EQ(retryAfter(Exchange), "1");
 }
 
-// The same at a process that has handed its slots on.
+// The process has left the cell, and its slots have moved to another one.
 TEST_F(RouterTest, RefusesAtOnceIfItOwnsNoSlot) {
   join(20s);
   ClockLag = 10s;
@@ -142,7 +139,7 @@
   EXPECT_EQ(Exchange.Answer.Status, 503);
 }
 
-// The list of boxes has not been read yet.
+// The box list has not been read yet.
 TEST_F(RouterTest, RefusesAtOnceIfNoInstanceIsKnown) {
   Directory.setBoxes({});
   join(10s);
@@ -151,8 +148,8 @@
   EXPECT_EQ(Exchange.Answer.Status, 503);
 }
 
-// The slot would come at the very end of the deadline: the request would be sent and given up, and
-// its caller would not know whether it ran.
+// A slot just before the deadline is of no use: the request would be sent and time out, and its
+// caller would not know whether it ran.
 TEST_F(RouterTest, RefusesAtOnceIfASlotIsUsableTooCloseToTheDeadline) {
   join(1050ms);
   FakeExchange Exchange;
@@ -160,7 +157,6 @@
   EXPECT_EQ(findHeader(Exchange.Answer.Headers, "Valveshelf-Outcome"), "not-run");
 }
 
-// A slot that can be used within the deadline is waited for.
 TEST_F(RouterTest, WaitsForASlotUsableBeforeTheDeadline) {
   join(1500ms);
   FakeExchange Exchange;
@@ -168,7 +164,7 @@
   EXPECT_GE(Waited, 1300ms);
   EXPECT_LT(Waited, 2000ms);
   EXPECT_NE(Exchange.Answer.Body.find("upstream-unavailable"), std::string::npos)
-      << "the slot was used: " << Exchange.Answer.Body;
+      << "the request should have been sent to the upstream: " << Exchange.Answer.Body;
 }
 
 } // namespace
