--- a/src/jobs/shard_fuzz_test.cpp
+++ b/src/jobs/shard_fuzz_test.cpp
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// Random orders of events against the decisions of a running shard. A few workers that refuse
-// nothing hold the truth; starts, answers, renewals and lists are delayed, lost or reordered,
-// owners freeze between journal and send, wake late and die. What must hold is checked on the
-// truth at every start. VALVESHELF_FUZZ_EVENTS and VALVESHELF_FUZZ_SEED lengthen a run.
+// Fuzz test of a running shard's decisions under lost and delayed messages, frozen owners and
+// takeovers: no overcommitted worker, no concurrent attempts, no repetition of non-repeatable
+// tasks. VALVESHELF_FUZZ_EVENTS and VALVESHELF_FUZZ_SEED set the length and the first seed.
 #include "valveshelf/shard_decisions.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +19,7 @@
 constexpr Milliseconds TaskLease{5000};
 constexpr size_t MaxTasks = 8;
 
-// A task as it really runs.
+// A task running on a simulated worker.
 struct ActualRun {
   TaskKey Key;
   uint32_t Attempt;
@@ -36,12 +35,12 @@
   std::vector<TaskReport> Ended;
 };
 
-// A start on its way from an owner to a worker.
+// A start request in transit from an owner to a worker.
 struct StartInTransit {
   StartEffect Effect;
-  uint64_t Owner;               ///< Which owner sends it.
-  bool Sent = false;            ///< Left the owner; can't be called back.
-  bool AwaitingResponse = true; ///< The owner still waits for the answer.
+  uint64_t Owner;               ///< Number of the sending owner.
+  bool Sent = false;            ///< The owner can no longer withdraw it.
+  bool AwaitingResponse = true; ///< The owner waits for the response.
   TimePoint DeliverBy{};
 };
 
@@ -102,8 +101,8 @@
     return WallTime(std::chrono::duration_cast<Milliseconds>(Now.time_since_epoch()));
   }
 
-  // Keeps records and lets effects begin. Nothing is lost between the two: that is the
-  // journal's part and has tests of its own.
+  // Appends the records to the journal and starts the effects. Loss between the two is covered by
+  // the tests of the journal.
   void take(const Decision &Decided) {
     Log.insert(Log.end(), Decided.Records.begin(), Decided.Records.end());
     for (const StartEffect &Start : Decided.Starts)
@@ -145,7 +144,7 @@
     take(placeQueued(State, Config, pick(8) != 0, Nothing, Limits, Now, wall()));
   }
 
-  // Something happens to one start on its way.
+  // Drops, times out or delivers a start request in transit.
   void deliverOrLoseStart() {
     if (StartsInTransit.empty())
       return;
@@ -163,7 +162,7 @@
     }
     Chosen->Sent = true;
     if (Mine && Chosen->AwaitingResponse && Choice <= 2) {
-      // The call times out; the bytes may still arrive, unless they were lost.
+      // The call times out; the request may still arrive, unless it is lost.
       answer(*Chosen, StartAnswer::Unanswered);
       Chosen->AwaitingResponse = false;
       Chosen->DeliverBy = Now + Limits.SettleTime;
@@ -183,7 +182,7 @@
     take(onStartAnswer(State, F.Effect.Key, F.Effect.Attempt, Answer, Limits, Now));
   }
 
-  // The worker begins what it is told to begin.
+  // The worker starts the task unconditionally; checks the invariants.
   void deliver(const StartInTransit &F, ActualWorker &To) {
     const StartEffect &Start = F.Effect;
     ++Starts;
@@ -192,13 +191,13 @@
       Used += Run.Cores;
     const std::string Id = workerTaskId(Start.Key, Start.Attempt);
     if (Used > WorkerCores)
-      Violations.push_back(Id + " made " + To.Name + " over-full");
+      Violations.push_back(Id + " on " + To.Name + " exceeds its capacity");
     for (const ActualWorker &W : Workers)
       for (const ActualRun &Run : W.Runs)
         if (Run.Key == Start.Key)
-          Violations.push_back(Id + " runs twice at once");
+          Violations.push_back(Id + " runs while another attempt of its task runs");
     if (!Start.Spec->Repeatable && ++StartsOfNonRepeatableTasks[toString(Start.Key)] > 1)
-      Violations.push_back(Id + " was started again although it may run once");
+      Violations.push_back(Id + " repeats a task that is not repeatable");
     To.Runs.push_back({Start.Key, Start.Attempt, Start.Spec->Size.MilliCores, Now + TaskLease});
   }
 
@@ -224,13 +223,13 @@
     std::erase_if(W.Runs, Which);
   }
 
-  // Leases lapse on time also on a worker whose daemon is frozen.
+  // Leases expire on time even on a frozen worker.
   void expireLeases() {
     for (ActualWorker &W : Workers)
       finish(
           W, [&](const ActualRun &Run) { return Now >= Run.LeaseEnds; },
           TaskReport::State::Stopped);
-    // Bytes that an awake worker could read have been read by now.
+    // A worker that is not frozen has read these requests by now.
     for (auto F = StartsInTransit.begin(); F != StartsInTransit.end();) {
       ActualWorker &To = *std::find_if(Workers.begin(), Workers.end(), [&](const ActualWorker &W) {
         return W.Name == F->Effect.Worker;
@@ -305,7 +304,7 @@
       W.Frozen = false;
       return;
     case 5:
-      // The worker's process dies and comes back; what was in its sockets died with it.
+      // The worker restarts, which loses the requests in its sockets.
       W.Runs.clear();
       W.Ended.clear();
       W.Frozen = false;
@@ -325,7 +324,7 @@
     }
   }
 
-  // A successor replays the journal. The predecessor, frozen, may still send what it journalled.
+  // A successor replays the journal. The frozen predecessor may still send journalled starts.
   void failOver(bool First) {
     if (!First && !State.PredecessorGone)
       return;
@@ -342,7 +341,7 @@
       Log = snapshotOf(State);
   }
 
-  // What it had not sent dies with it; what it had sent arrives soon or never.
+  // Unsent requests of the predecessor are lost; sent ones arrive within the settle time or never.
   void confirmPredecessorGone() {
     if (State.PredecessorGone)
       return;
