--- a/src/include/valveshelf/shard_decisions.h
+++ b/src/include/valveshelf/shard_decisions.h
@@ -76,7 +76,7 @@
   Milliseconds TaskLease{60000};
   Milliseconds SettleTime{2000}; ///< A worker list shows every start sent this long before.
   Milliseconds LeaseMargin{1000};
-  Milliseconds ReturnTimeout{1500}; ///< A task queued for longer is returned to its home shard.
+  Milliseconds ReturnTimeout{1500}; ///< A task queued for longer may be returned to its home shard.
   Milliseconds ResendInterval{1000};
   Milliseconds ProbeInterval{5000};
   Milliseconds TombstoneRetention{600000};
@@ -137,13 +137,13 @@
 };
 /// Handles a worker's task list. \p AskedAt is the time of the request, \p Renewed whether it
 /// renewed the leases of the tasks it named.
-Decision onWorkerReport(ShardState &State, const std::string &Worker, const WorkerReport &Report,
-                        bool Renewed, const DecisionLimits &Limits, TimePoint AskedAt,
-                        TimePoint Now, WallTime Wall);
+Decision onWorkerReport(ShardState &State, const std::string &WorkerName,
+                        const WorkerReport &Report, bool Renewed, const DecisionLimits &Limits,
+                        TimePoint AskedAt, TimePoint Now, WallTime Wall);
 
 /// Handles a failed call to a worker. With \p Renewed, the call may have renewed leases or may
 /// still do so.
-Decision onWorkerCallFailed(ShardState &State, const std::string &Worker, bool Renewed,
+Decision onWorkerCallFailed(ShardState &State, const std::string &WorkerName, bool Renewed,
                             const DecisionLimits &Limits);
 
 /// Handles the box list: new, changed, leaving and removed workers of this shard.
