--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -1,14 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
-// The scheduler of a cell: its state and the events that change it. Everything here is a pure
-// function of state, event and time; what has to be said or kept comes back as effects.
+// The state of a cell's scheduler and the events that change it. Every function here is a pure
+// function of state, event and time; calls to workers, writes to the store and log lines are
+// returned as `Effects`, which `SchedulerRunner` carries out.
 //
-// One process of the cell holds this state at a time, under a fence that workers check. Its
-// promises:
-//  - a task has at most one attempt; another begins only when the earlier one surely does not run;
-//  - what a worker holds, is being stopped there or may still start there stays booked;
-//  - an end is let go by its worker only after it has been saved.
+// One process of the cell holds this state at a time, under a fencing token that workers check.
+// Guarantees:
+//  - a task has at most one attempt; another is made only when the earlier one can't run any more;
+//  - the resources of a run stay booked while its worker holds it, is stopping it or may still
+//    start it;
+//  - a worker may forget the end of a run only after that end has been saved.
 //
-// Nothing here locks: one strand owns the state.
+// Not thread-safe: one strand owns the state.
 #pragma once
 
 #include "valveshelf/workload.h"
@@ -24,47 +26,49 @@
 
 struct Worker;
 
-/// An organisation and what it has running, on all workers of the cell together.
-/// Invariant: Usage is the sum of `Charge` over all attempts of its jobs, in every phase: what is
-/// planned, what may still start after an order without an answer, and what is being stopped count
-/// until they are surely gone. Only `book`, `unbook` and `adopt` change it.
+/// An organisation and its resource usage over all workers of the cell.
+/// Invariant: Usage is the sum of `Charge` over all attempts of its jobs, in every phase: planned
+/// attempts, those whose start order got no answer and those being stopped count until they are
+/// known to be over. Only `book`, `unbook` and `adopt` change it.
 struct OrganisationState {
   std::string Name;
-  Resources Maximum;      ///< Of the newest configuration; 0 in a dimension: no limit.
-  double Weight = 0;      ///< Its share in jobs a second once the cell is full; 0: none.
-  double ShareTokens = 0; ///< Jobs that it could still hand in within its share,
-  std::optional<WallTime> ShareTokensAt; ///< as of this time; empty: it has not handed any in yet.
+  Resources Maximum; ///< From the newest configuration; 0 in a dimension: no limit.
+  double Weight = 0; ///< Its share once the cell is full, in jobs per second; 0: no share is set.
+  double ShareTokens = 0;                ///< Jobs that it can still submit within its share,
+  std::optional<WallTime> ShareTokensAt; ///< at this time; empty: it has not submitted any yet.
   Resources Usage;
-  /// What it may have running on workers that this scheduler has not heard yet. (beginPass)
+  /// Upper bound of its usage on workers that have not reported to this scheduler yet. Recomputed
+  /// by `chargeUnreported` in each pass.
   Resources UnreportedUsage;
 };
 
-/// Figures that the decisions need, from the platform's bounds and from settings.
+/// Limits from the settings and the platform's bounds.
 struct SchedulerLimits {
   Milliseconds WorkerLease{6000};         ///< Longest time a worker runs on without word of us.
   Milliseconds StopTime{200};             ///< Longest time a worker takes to stop a run.
   Milliseconds GangTimeout{3000};         ///< How long gang members wait for each other.
-  Milliseconds MaxEarlyStart{250};        ///< A timed round may start so much before its time.
+  Milliseconds MaxEarlyStart{250};        ///< How early a round of a timed job may start.
   Milliseconds EndedJobRetention{150000}; ///< How long the state of an ended job is kept.
   double ClockDrift = 0.02;               ///< Workers' clocks may be off by this part.
   Milliseconds LeaseMargin{300};          ///< Added to every lease that has to have run out.
-  Milliseconds QuarantineTime{4000};      ///< How long a worker that fails everything gets no work.
-  Milliseconds TicketMargin{120};         ///< A ticket is not used this close to its end.
-  Milliseconds PlanTimeout{2500}; ///< A gang whose room is not free by then is planned anew.
-  double MinUrgentReserve = 0.10; ///< While room for urgent tasks is scarce, part of each worker
-                                  ///< kept free of work that can wait; more if urgent tasks are
-                                  ///< larger, up to the next figure.
-  double MaxUrgentReserve = 0.22; ///< The most of it.
-  double UrgentHeadroom = 0.25;   ///< Room for urgent tasks is scarce if less than this part of
-                                  ///< those that run now could be started beside them.
-  Milliseconds PreemptionMargin{
-      1500};                   ///< Work that was stopped finds a place again within this time.
-  uint32_t SpareWorkers = 150; ///< Idle workers kept ready beyond those in use; a gang of the
-                               ///< usual size finds its advised ones among them.
-  uint32_t MaxNewWorkersPerTick = 64;      ///< Most that are made ready in one tick.
-  Milliseconds FailureAvoidanceTime{1000}; ///< A task that failed goes elsewhere for so long; a
-                                           ///< worker that fails everything is set aside by then.
-  int MaxConsecutiveFailures = 3;   ///< A worker that failed so many runs in a row is set aside.
+  Milliseconds QuarantineTime{4000};      ///< How long a worker gets no work after repeated
+                                          ///< failures or a stalled run.
+  Milliseconds TicketMargin{120};         ///< A ticket is not used this close to its expiry.
+  Milliseconds PlanTimeout{2500};         ///< An attempt planned this long ago is planned anew.
+  /// While capacity for urgent tasks is scarce: least and largest fraction of each worker that is
+  /// reserved for them. Between the two, the typical size of an urgent task decides.
+  double MinUrgentReserve = 0.10;
+  double MaxUrgentReserve = 0.22;
+  /// Capacity for urgent tasks is scarce if fewer than this fraction of those in progress could be
+  /// started in addition.
+  double UrgentHeadroom = 0.25;
+  Milliseconds PreemptionMargin{1500}; ///< Time allowed for placing a preempted task again.
+  uint32_t SpareWorkers = 150;         ///< Idle workers kept ready in addition to those in use.
+  uint32_t MaxNewWorkersPerTick = 64;  ///< Workers made ready in one tick.
+  /// How long a task avoids the worker on which it failed. A worker on which a task failed at once
+  /// is quarantined for as long.
+  Milliseconds FailureAvoidanceTime{1000};
+  int MaxConsecutiveFailures = 3;   ///< Failed runs in a row after which a worker is quarantined.
   uint32_t MaxStartupCrashes = 3;   ///< A task that crashed so many workers in a row as it began is
                                     ///< given up. Operators allow it from the second on.
   uint32_t MinConfirmedCrashes = 2; ///< So many of them have to be sure; operators ask for two.
@@ -76,11 +80,10 @@
   Milliseconds StartupTime{500};   ///< So long after its start a run counts as beginning.
 };
 
-/// Where an attempt stands.
 enum class AttemptPhase {
-  Planned,   ///< Room is held; nothing was said to the worker.
-  Starting,  ///< The order is on its way.
-  Uncertain, ///< The order got no answer; it may have been carried out or may still be.
+  Planned,   ///< Resources are reserved; the worker has not been called.
+  Starting,  ///< The start order has been sent.
+  Uncertain, ///< The start order got no answer; it may have taken or may still take effect.
   Running,
   Stopping, ///< A stop was ordered; the run may still be there.
 };
@@ -93,18 +96,18 @@
 };
 std::string_view toString(WorkerEnd How);
 
-/// Behind all priorities that a queue can have.
+/// Priority of attempts beyond their organisation's share; lower than that of any queue.
 inline constexpr int OverSharePriority = 1'000'000;
 
 /// A run on a worker, or one that may be there.
 struct Attempt {
   AttemptPhase Phase = AttemptPhase::Planned;
-  Resources Need;                     ///< Of the worker's room.
-  Resources Charge;                   ///< Of its organisation's maximum.
-  OrganisationState *Owner = nullptr; ///< Null: nobody's.
-  int Priority = 0;           ///< Of its job; of excess the lowest, so that all others may stop it.
+  Resources Need;                     ///< Booked on the worker.
+  Resources Charge;                   ///< Counted in the usage of its organisation.
+  OrganisationState *Owner = nullptr; ///< Null: its job belongs to no organisation.
+  int Priority = 0;           ///< Of its job, or `OverSharePriority`; smaller is more urgent.
   bool IsUrgent = false;      ///< It is counted in `CellState::UrgentAttempts`.
-  bool IsPreemptible = false; ///< It saves its progress, so that stopping it loses little.
+  bool IsPreemptible = false; ///< It saves checkpoints, so that stopping it loses little work.
   TimePoint Objective{};      ///< Of its job.
   Milliseconds Estimate{0};   ///< Of its whole run time.
   int Sends = 0;              ///< Start orders sent.
@@ -112,16 +115,17 @@
   TimePoint StartedAt{};
   TimePoint StopSent{};
   bool StopAcked = false;
-  bool IsPreempted = false; ///< It is stopped to make room.
+  bool IsPreempted = false; ///< It was stopped in favour of more urgent work.
   TimePoint StopAckedAt{};
   int Percent = 0;
   TimePoint PercentChangedAt{};
-  TimePoint EndExpectedSince{}; ///< Its gang is done; since then its own end is expected.
-  std::optional<Milliseconds> FirstListed; ///< Its worker's clock, as it first listed the run.
-  TimePoint ConfirmedAt{}; ///< When it was surely there: its start was answered, or it was listed
-                           ///< in a report asked for then.
-  bool SurvivedStartup = false; ///< Its worker has lived through its beginning.
-  bool OnTrial = false; ///< It begins apart from others; it is counted in `Worker::IsolatedStarts`.
+  TimePoint EndExpectedSince{}; ///< When its gang was done; it is expected to end by itself.
+  std::optional<Milliseconds> FirstListed; ///< By the worker's clock, when it first listed the run.
+  /// When the run was last known to be on the worker: its start was answered, or a report asked
+  /// for at that time listed it.
+  TimePoint ConfirmedAt{};
+  bool SurvivedStartup = false; ///< Its worker did not crash during the run's startup.
+  bool OnTrial = false; ///< No run may start beside it. Counted in `Worker::IsolatedStarts`.
 };
 
 /// One life of a worker and what is booked on it.
@@ -158,7 +162,7 @@
   bool HasUncountedSilence = false; ///< That has still to be counted against what began here.
 };
 
-/// What is known of advice for a step. Whether a worker is good for it never changes.
+/// The answers of the advice service for a step. Whether a worker may run a step never changes.
 /// Invariant: Permits is sorted by slot, and each of its slots is marked in AnsweredSlots.
 struct AdviceState {
   struct Permit {
@@ -167,10 +171,10 @@
     TimePoint ValidUntil{};
   };
   std::vector<Permit> Permits;
-  std::vector<bool> AnsweredSlots;  ///< By slot: the advice service was asked about the worker.
-  uint32_t OutstandingRequests = 0; ///< Questions under way.
-  bool HasNewAnswer = false; ///< An answer has come that was not used yet; its tickets run out.
-  TimePoint NotBefore{};
+  std::vector<bool> AnsweredSlots; ///< By slot: the advice service has answered about the worker.
+  uint32_t OutstandingRequests = 0;
+  bool HasNewAnswer = false; ///< An answer has come since the step was last tried.
+  TimePoint NotBefore{};     ///< No request is sent before, after a failed one.
 };
 
 struct TaskState {
@@ -202,8 +206,8 @@
   TimePoint FailedAt{};             ///< Its last failure.
 };
 
-/// Place in the queue: what lies within its organisation's share first; then what can still meet
-/// its objective; then by priority and objective.
+/// Sort key of the placement queue: steps within their organisation's share first, then those that
+/// can still meet their objective, then by priority and objective.
 struct QueueKey {
   bool IsOverShare = false;
   bool Late = false;
@@ -225,16 +229,16 @@
   std::vector<TaskState> Tasks;
   uint32_t OpenTasks = 0;
   uint32_t BookedTasks = 0;       ///< Tasks that have an attempt.
-  uint32_t PlannedTasks = 0;      ///< Of them, those for which room is only held.
-  std::optional<QueueKey> Queued; ///< Its place in the placement queue, if it stands there.
+  uint32_t PlannedTasks = 0;      ///< Of them, those whose attempt is only planned.
+  std::optional<QueueKey> Queued; ///< Its key in `CellState::Queue`; empty: it is not queued.
   uint32_t GangRun = 0;           ///< Last run of a gang.
   std::set<uint32_t> GangFailures;
   AdviceState Advice;
   TimePoint RunnableSince{};
   TimePoint PlannedAt{};
-  bool LastPlacementFailed = false; ///< It found no place when it was last looked at.
-  bool HasStartOrders = false;      ///< A start of it was ordered.
-  std::string WaitReason;           ///< Why nothing is placed just now, for people.
+  bool LastPlacementFailed = false; ///< It was not placed when it was last tried.
+  bool HasStartOrders = false;      ///< A start of one of its tasks has been ordered.
+  std::string WaitReason;           ///< Shown to operators; empty: it does not wait.
 };
 
 struct RoundState {
@@ -245,19 +249,19 @@
 
 struct Job {
   JobSpecPtr Spec;
-  OrganisationState *Owner = nullptr; ///< Null: it came without a key.
-  bool IsOverShare = false;      ///< Its organisation had handed in more than its share before it.
-  uint64_t Revision = 0;         ///< Of its key in the store.
-  uint64_t ProgressRevision = 0; ///< Of its progress; 0: none is known to be kept.
-  bool ProgressSent = false;     ///< A write of its progress may have been carried out.
+  OrganisationState *Owner = nullptr; ///< Null: it was submitted without a key.
+  bool IsOverShare = false;           ///< It was submitted beyond its organisation's share.
+  uint64_t Revision = 0;              ///< Of its key in the store.
+  uint64_t ProgressRevision = 0;      ///< Of its progress record in the store; 0: none is known.
+  bool ProgressSent = false;          ///< A write of its progress may have taken effect.
   JobPhase Phase = JobPhase::Live;
-  bool Begun = false;
+  bool Begun = false; ///< A run of it has started.
   bool CancelRequested = false;
   std::map<uint32_t, RoundState> Rounds;
   uint32_t NextRound = 0;
   uint32_t RoundsDone = 0;
-  TimePoint Objective{};    ///< By then it has to be complete to count in full.
-  uint64_t PendingSave = 0; ///< Number of the newest save it needs; 0: saved.
+  TimePoint Objective{};    ///< When it has to be complete to count in full.
+  uint64_t PendingSave = 0; ///< Number of the newest save that it waits for; 0: none.
 };
 
 /// A worker that is counted in `TaskState::StartupCrashes` and may be alive. It is kept when the
@@ -267,63 +271,65 @@
   std::set<TaskKey> Tasks;
 };
 
-/// The durable end of a job.
+/// A job whose end has been saved.
 struct EndedJob {
   JobPhase Phase = JobPhase::Completed;
   uint64_t Revision = 0;
   WallTime EndedAt{};
-  std::string Organisation; ///< Whose it was; empty: anybody's.
+  std::string Organisation; ///< Empty: it belonged to none.
 };
 
 struct CellState {
   SchedulerLimits Limits;
-  uint64_t Fence = 0;
-  uint32_t FirstRun = 1; ///< Run numbers of this scheduler begin here.
-  /// By name; nodes stay where they are. One that has left the configuration keeps its maximum.
+  uint64_t Fence = 0;    ///< The fencing token of this scheduler: its term.
+  uint32_t FirstRun = 1; ///< The smallest run number that this scheduler uses.
+  /// By name. Pointers to the values stay valid. An organisation that has left the configuration
+  /// keeps its maximum.
   std::map<std::string, OrganisationState> Organisations;
-  std::set<std::string> Services; ///< Of the newest configuration.
+  std::set<std::string> Services; ///< Named by the newest configuration.
   /// Invariant: `Worker::InEvacuatedZone` is true for the workers of these zones and no others.
   EvacuatedZones Evacuated;
   bool HasConfiguration = false; ///< The maxima of organisations are known.
   std::unordered_map<JobId, Job> Jobs;
-  std::unordered_map<JobId, EndedJob> EndedJobs;     ///< Saved ends only.
-  std::deque<std::pair<WallTime, JobId>> EndedByAge; ///< Ended jobs, oldest first.
-  std::map<std::string, Worker> Workers;             ///< By id; nodes stay where they are.
-  std::vector<Worker *> Slots;                       ///< Workers by slot; null: gone.
-  std::set<QueueKey> Queue;                          ///< Steps with a task to place.
-  TimePoint NextFullScan{};              ///< When all steps that wait are looked at again.
-  uint64_t FullScans = 0;                ///< So far.
-  std::optional<QueueKey> FirstUnplaced; ///< The first that found no place since the last of them.
+  std::unordered_map<JobId, EndedJob> EndedJobs;
+  std::deque<std::pair<WallTime, JobId>> EndedByAge; ///< Keys of EndedJobs, oldest first.
+  std::map<std::string, Worker> Workers;             ///< By id. Pointers to the values stay valid.
+  std::vector<Worker *> Slots;           ///< Workers by slot; null: the worker was dropped.
+  std::set<QueueKey> Queue;              ///< Steps with a task to place.
+  TimePoint NextFullScan{};              ///< When all waiting steps are tried again.
+  uint64_t FullScans = 0;                ///< Number of full scans so far.
+  std::optional<QueueKey> FirstUnplaced; ///< First step not placed since the last full scan.
   std::set<JobId> PendingCancels;        ///< Cancelled jobs that are not known yet.
-  std::map<std::string, std::string> UnreportedWorkers; ///< Workers that an earlier scheduler may
-                                                        ///< have used, with their services.
-  /// By id. Invariant: a task is named here exactly if it names the worker in `Doubted` or
-  /// `Vanished`.
+  /// Services of workers that may hold runs of an earlier scheduler and have not reported to this
+  /// one, by worker id.
+  std::map<std::string, std::string> UnreportedWorkers;
+  /// By id. Invariant: a task is listed here exactly if it lists the worker in `SuspectWorkers` or
+  /// `VanishedWorkers`.
   std::map<std::string, SuspectWorker> Doubted;
-  std::set<RunKey> OrphanedRuns; ///< Runs on workers whose job was not known when they were seen.
+  std::set<RunKey> OrphanedRuns; ///< Runs on workers whose job was not known when reported.
   bool Loaded = false;           ///< The store was read; nothing is placed before.
-  uint64_t LastSave = 0;
-  std::map<uint64_t, JobId> PendingSaves;  ///< Saves not yet durable, by number.
-  std::set<uint32_t> SlotsWithUnsavedEnds; ///< Slots of workers with ends that wait for a save.
-  WallTime Wall{};                         ///< The time of day at Now, as of the last tick.
-  TimePoint WallAt{};                      ///< The steady time at which Wall was read.
-  bool WorkerShortage = false;    ///< A step found no place among the workers that are ready.
+  uint64_t LastSave = 0;         ///< Number of the newest save.
+  std::map<uint64_t, JobId> PendingSaves;  ///< Saves that are not durable yet, by number.
+  std::set<uint32_t> SlotsWithUnsavedEnds; ///< Of workers with ends that wait for a save.
+  WallTime Wall{};                         ///< Wall-clock time of the last tick.
+  TimePoint WallAt{};                      ///< Steady time of the last tick.
+  bool WorkerShortage = false;    ///< A step that did not fit would fit a worker not in use yet.
   Resources MeanUrgentNeed;       ///< Moving average of the needs of urgent tasks.
   uint32_t UrgentAttempts = 0;    ///< Attempts of urgent tasks, in every phase.
-  size_t UrgentScanStart = 0;     ///< A slot that had room for urgent tasks when last looked for.
-  uint32_t AdviceConcurrency = 0; ///< Questions for advice that can be asked at the same time.
-  uint32_t OutstandingAdviceRequests = 0; ///< Of all steps, under way or in line for a lane.
-  /// By step with a question under way: slots of the workers that it names, and what it claims
-  /// there.
+  size_t UrgentScanStart = 0;     ///< Slot of a worker that last had capacity for urgent tasks.
+  uint32_t AdviceConcurrency = 0; ///< Advice requests that can be sent in parallel.
+  uint32_t OutstandingAdviceRequests = 0; ///< Of all steps, sent or queued to be sent.
+  /// By step with an outstanding request: slots of the workers that it names, and the resources
+  /// that it claims there.
   std::map<StepKey, std::vector<std::pair<uint32_t, Resources>>> AdviceClaims;
-  std::set<StepKey> RenewingTickets; ///< Steps whose question under way only renews tickets.
-  /// By queue: the part of the workers asked about that turned out good, a moving average.
+  std::set<StepKey> RenewingTickets; ///< Steps whose outstanding request only renews tickets.
+  /// By queue: moving average of the fraction of workers asked about that may run the step.
   std::map<std::string, double> ApprovalRates;
-  TimePoint NextLeaveScan{}; ///< When work on leaving workers is looked for again.
-  TimePoint NextStallScan{}; ///< When runs without progress are looked for again.
+  TimePoint NextLeaveScan{}; ///< When leaving workers are next checked for work to move.
+  TimePoint NextStallScan{}; ///< When runs are next checked for progress.
 };
 
-/// What the process has to do.
+/// Output of the functions below: what the process has to send, save and log.
 struct Effects {
   struct Start {
     std::string Worker;
@@ -339,21 +345,21 @@
   };
   struct AdviceRequest {
     StepKey Step;
-    bool IsLate = false; ///< It is asked after those of steps that can still meet their objective.
+    bool IsLate = false; ///< Sent after requests of steps that can still meet their objective.
     int Priority = 0;
     std::vector<std::string> Workers;
-    Milliseconds ExpectedTime{0};
+    Milliseconds ExpectedTime{0}; ///< Until the service answers.
   };
-  /// For the log: what one pass ordered for a step.
+  /// For the log: the starts that one pass ordered for a step.
   struct Placement {
     StepKey Step;
     uint32_t Tasks = 0;
     uint32_t Workers = 0;
     TimePoint RunnableSince{};
     TimePoint Objective{};
-    bool IsFirst = false; ///< Nothing of the step was ordered before.
+    bool IsFirst = false; ///< No start of the step was ordered before.
   };
-  /// For the log: a run that failed.
+  /// For the log: a failed run.
   struct Failure {
     RunKey Run;
     std::string Worker;
@@ -393,17 +399,17 @@
   std::vector<CrashCountChange> CrashCountChanges;
   std::vector<Stop> Stops;
   std::vector<AdviceRequest> AdviceRequests;
-  std::vector<std::string> ReportRequests; ///< Workers to ask at once what they hold.
-  bool SaveRequested = false;              ///< Something waits to be saved.
-  bool HasNewWorkers = false;              ///< Workers are wanted that were not before.
-  bool Deposed = false;                    ///< A newer scheduler has spoken; this one must end.
+  std::vector<std::string> ReportRequests; ///< Workers to ask for a report at once.
+  bool SaveRequested = false;              ///< There are saves to be written.
+  bool HasNewWorkers = false;              ///< Workers were added to those in use.
+  bool Deposed = false; ///< A worker has seen a newer fencing token; this scheduler must end.
 };
 
 // Jobs.
 
-/// A job that the store holds. \p Fresh: no earlier scheduler can have started any of it.
+/// Adds a job that the store holds. \p Fresh: no earlier scheduler can have started any of it.
 void addJob(CellState &Cell, JobSpecPtr Spec, uint64_t Revision, bool Fresh, TimePoint Now);
-/// Marks what an earlier scheduler saved: the tasks done, failures and checkpoints of one step.
+/// The state of a task as an earlier scheduler saved it.
 struct SavedTask {
   uint32_t Index = 0;
   bool Done = false;
@@ -415,43 +421,43 @@
   uint32_t Losses = 0;
   std::string TrialOn;
 };
+/// Restores the tasks of a step of a job that was added.
 void restoreStep(CellState &Cell, const StepKey &Key, const std::vector<SavedTask> &Tasks);
 /// Call once after all jobs were added and restored.
 void finishLoading(CellState &Cell, TimePoint Now, Effects &Out);
-/// A cancellation of a job that is not known yet is kept until the job comes.
+/// A cancellation of a job that is not known yet is kept until the job is added.
 void cancelJob(CellState &Cell, JobId Id, TimePoint Now, Effects &Out);
 /// Call after `addJob`: carries out a cancellation that came before the job.
 void applyPendingCancel(CellState &Cell, JobId Id, TimePoint Now, Effects &Out);
-/// The saves up to \p Number of \p Id are durable; its keys have these revisions now. Returns the
-/// workers none of whose ends waits for a save any more.
+/// The saves of \p Id up to \p Number are durable, at these revisions of its keys. Returns the
+/// workers that have no end left that waits for a save.
 std::vector<std::string> jobSaved(CellState &Cell, JobId Id, uint64_t Number, uint64_t Revision,
                                   uint64_t ProgressRevision, WallTime Now);
-/// The state to show a caller, empty if there is no such job here.
+/// The state to show a caller; empty if the job is not known here.
 std::string_view publicJobState(const CellState &Cell, JobId Id);
-/// Whose the job is; empty: anybody's, or there is no such job here.
+/// Name of the job's organisation; empty if it has none or is not known here.
 std::string organisationOfJob(const CellState &Cell, JobId Id);
-/// Jobs of the queue of which nothing has begun.
+/// Number of live jobs of the queue of which no run has started.
 uint32_t waitingJobs(const CellState &Cell, const std::string &Queue);
 
 // Organisations.
 
-/// The operators' configuration says what organisations may have running, from now on. What runs
-/// beyond a lowered maximum runs on.
+/// Applies the maxima and shares of a new configuration. Runs beyond a lowered maximum go on.
 void applyConfiguration(CellState &Cell, const CellConfiguration &Config);
-/// The organisation of that name; null for the empty one.
+/// The organisation of that name, added if it is new; null for the empty name.
 OrganisationState *findOrAddOrganisation(CellState &Cell, const std::string &Name);
-/// Counts a job that the organisation handed in at \p At against its share, a burst of one second
-/// included. False: the job lies beyond it.
+/// Counts a job submitted at \p At against the organisation's share, a token bucket that holds one
+/// second's worth. Returns false if the job is beyond the share.
 bool consumeShare(OrganisationState &Org, WallTime At);
-/// True if the organisation may have \p More running. Without \p Of there is no limit; until the
-/// configuration is known no organisation may have anything started.
+/// True if the organisation may use \p More in addition. Null \p Org: there is no limit. Until the
+/// configuration is known no organisation may start anything.
 bool isWithinQuota(const CellState &Cell, const OrganisationState *Org, const Resources &More);
 
 // Availability zones.
 
-/// Operators want these zones empty: nothing is started there any more, what is planned there is
-/// planned elsewhere, and what can go on elsewhere is moved. An older state of the store is passed
-/// over. False: nothing has changed.
+/// Sets the zones that operators evacuate: nothing is started there any more, attempts planned
+/// there are planned elsewhere, and runs that can continue elsewhere are moved. Ignores a revision
+/// older than the known one. Returns false if nothing has changed.
 bool evacuate(CellState &Cell, EvacuatedZones Zones);
 
 // Workers.
@@ -483,44 +489,48 @@
 
 // Advice and placement.
 
+/// The advice service has answered a request that named \p Named: the workers in \p Good may run
+/// the step, with these tickets, which are valid for \p Valid.
 void adviceAnswered(CellState &Cell, const StepKey &Step, const std::vector<std::string> &Named,
                     const std::vector<std::pair<std::string, std::string>> &Good,
                     Milliseconds Valid, TimePoint Now);
 void adviceFailed(CellState &Cell, const StepKey &Step, TimePoint Now);
-/// Time outs: answers that did not come, leases that ran out, rounds that are due.
+/// Handles timeouts: missing answers, expired leases and due rounds.
 void tick(CellState &Cell, TimePoint Now, WallTime Wall, Effects &Out);
-/// Places what can be placed now.
+/// Runs one placement pass over the queue.
 void place(CellState &Cell, TimePoint Now, Effects &Out);
 
-// Shared by the parts of the scheduler.
+// Internal to the scheduler.
 
+/// Null if there is no such step.
 StepState *findStep(CellState &Cell, const StepKey &Key);
-/// The attempt of a task; null: it has none.
+/// The attempt of a task; null if it has none.
 Attempt *attemptOf(const StepState &Step, uint32_t Index);
-/// Books an attempt of the task; removes it again.
+/// Makes an attempt of the task and books its resources.
 Attempt &book(CellState &Cell, StepState &Step, uint32_t Index, Worker &W, uint32_t Run,
               AttemptPhase Phase, const Job &J, TimePoint Now);
+/// Removes an attempt and releases its resources; does nothing if there is none.
 void unbook(CellState &Cell, Worker &W, const RunKey &Run);
-/// Gives up the room that is held for an attempt of which nothing was sent.
+/// Removes a planned attempt, for which no order was sent.
 void dropPlanned(CellState &Cell, Worker &W, const RunKey &Run, Effects &Out);
 void setPhase(CellState &Cell, Worker &W, const RunKey &Run, AttemptPhase Phase, TimePoint Now);
-/// The permit for the worker, or null if it is not known to be good for the step.
+/// The permit for the worker; null if it is not known to be allowed to run the step.
 const AdviceState::Permit *findPermit(const StepState &Step, const Worker &W);
 AdviceState::Permit *findPermit(StepState &Step, const Worker &W);
 /// True if the advice service has answered about the worker.
 bool hasAdviceOn(const StepState &Step, const Worker &W);
-/// Orders the stop of a run, or drops it if it was only planned.
+/// Orders the stop of a run; drops it if it was only planned.
 void stopAttempt(CellState &Cell, Worker &W, const RunKey &Run, const char *Why, TimePoint Now,
                  Effects &Out);
-/// True if the step can't end by its job's objective any more. A step that lasts has no end to be
-/// late with: it serves from when it is at work.
+/// True if half of the step's estimate no longer fits before its job's objective. False for a
+/// long-running step, which has no end.
 bool isLate(const Job &J, const StepState &Step, TimePoint Now);
-/// Puts the step into the placement queue if one of its tasks can be placed.
+/// Puts the step into the placement queue if it is runnable and has open tasks, else removes it.
 void queueStep(CellState &Cell, Job &J, StepState &Step, TimePoint Now);
 void requestSave(CellState &Cell, Job &J, Effects &Out);
-/// Ends the job, unless it has ended: what runs of it is stopped, and its end is saved.
+/// Ends the job unless it has ended: stops its runs and requests the save of its end.
 void endJob(CellState &Cell, Job &J, JobPhase Phase, const char *Why, TimePoint Now, Effects &Out);
-/// Notes the end of a run in the task and the job.
+/// Records the end of a run in the task and the job. \p W may be null.
 void runEnded(CellState &Cell, const RunKey &Run, RunOutcome How, const std::string &Checkpoint,
               Worker *W, TimePoint Now, Effects &Out);
 
