--- a/src/base/compression.cpp
+++ b/src/base/compression.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Deflate, by Boost.Beast.
+// Compression with the deflate implementation of Boost.Beast.
 #include "valveshelf/compression.h"
 
 #include <boost/beast/zlib/deflate_stream.hpp>
@@ -25,7 +25,7 @@
 }
 
 Result<std::string> decompress(std::string_view Packed, size_t Most) {
-  const Error Unreadable{ErrorKind::BadRequest, "the packed text can't be read"};
+  const Error Unreadable{ErrorKind::BadRequest, "the compressed text is invalid or truncated"};
   zlib::inflate_stream Stream;
   zlib::z_params Step;
   Step.next_in = Packed.data();
@@ -34,7 +34,7 @@
   boost::system::error_code Code;
   while (Code != zlib::error::end_of_stream) {
     if (Text.size() >= Most)
-      return Error{ErrorKind::BadRequest, "the packed text is too long"};
+      return Error{ErrorKind::BadRequest, "the decompressed text exceeds the size limit"};
     constexpr size_t Piece = 64 * 1024;
     const size_t Before = Text.size();
     Text.resize(std::min(Before + Piece, Most));
--- a/src/base/compression_test.cpp
+++ b/src/base/compression_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Packed texts: whole, cut, foreign and too long.
+// Round trips of compressed text, and rejection of truncated, foreign and oversized input.
 #include "valveshelf/compression.h"
 
 #include <gtest/gtest.h>
--- a/src/base/selector.cpp
+++ b/src/base/selector.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The parser and matcher of label selectors.
+// Parser and matcher of label selectors.
 #include "valveshelf/selector.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
   });
 }
 
-// Splits at commas that stand outside parentheses.
+// Splits at commas outside parentheses.
 std::vector<std::string> splitTerms(std::string_view Text) {
   std::vector<std::string> Parts(1);
   int Depth = 0;
--- a/src/include/valveshelf/compression.h
+++ b/src/include/valveshelf/compression.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Texts that go to many processes, made smaller.
+// Compression of texts that are distributed to many processes, such as configurations.
 #pragma once
 
 #include "valveshelf/errors.h"
@@ -9,9 +9,10 @@
 
 namespace valveshelf {
 
-/// Deflated; a configuration takes a tenth.
+/// Compresses \p Text with raw deflate.
 std::string compress(std::string_view Text);
-/// BadRequest if \p Packed can't be read or holds more than \p Most bytes.
+/// Returns BadRequest if \p Packed is invalid or truncated, or decompresses to more than \p Most
+/// bytes.
 Result<std::string> decompress(std::string_view Packed, size_t Most);
 
 } // namespace valveshelf
--- a/src/include/valveshelf/resources.h
+++ b/src/include/valveshelf/resources.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Amounts of processors, memory and accelerators.
+// Resource vectors: processors, memory and accelerators, with component-wise arithmetic.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace valveshelf {
 
-/// What a task asks for, or what a box holds.
+/// The resources that a task needs or that a box provides.
 struct Resources {
   int64_t MilliCores = 0; ///< Thousandths of a processor core.
   int64_t MemoryMb = 0;   ///< Mebibytes.
@@ -34,25 +34,25 @@
   friend Resources operator-(Resources A, const Resources &B) { return A -= B; }
 };
 
-/// True if \p Need fits into \p Room in every dimension.
+/// True if \p Need is at most \p Room in every dimension.
 inline bool fits(const Resources &Need, const Resources &Room) {
   return Need.MilliCores <= Room.MilliCores && Need.MemoryMb <= Room.MemoryMb &&
          Need.Accelerators <= Room.Accelerators;
 }
 
-/// The larger amount in each dimension.
+/// The component-wise maximum.
 inline Resources componentMax(const Resources &A, const Resources &B) {
   return {std::max(A.MilliCores, B.MilliCores), std::max(A.MemoryMb, B.MemoryMb),
           std::max(A.Accelerators, B.Accelerators)};
 }
 
-/// The smaller amount in each dimension.
+/// The component-wise minimum.
 inline Resources componentMin(const Resources &A, const Resources &B) {
   return {std::min(A.MilliCores, B.MilliCores), std::min(A.MemoryMb, B.MemoryMb),
           std::min(A.Accelerators, B.Accelerators)};
 }
 
-/// How many times \p Need fits into \p Room, at most \p Most.
+/// How many times \p Need fits into \p Room, from 0 to \p Most. \p Most if \p Need is zero.
 inline int64_t countFitting(const Resources &Need, const Resources &Room, int64_t Most) {
   int64_t Times = Most;
   if (Need.MilliCores > 0)
--- a/src/include/valveshelf/selector.h
+++ b/src/include/valveshelf/selector.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Label selectors: how workloads choose boxes and operators choose workloads.
+// Label selectors, by which workloads select boxes and operators select workloads.
 #pragma once
 
 #include "valveshelf/errors.h"
@@ -21,16 +21,16 @@
   std::vector<std::string> Values;
 };
 
-/// A conjunction of conditions; an empty one matches everything.
+/// A conjunction of terms. An empty selector matches everything.
 struct Selector {
   std::vector<SelectorTerm> Terms;
 };
 
 /// Parses `key=value`, `key!=value`, `key in (a,b)`, `key notin (a,b)`, `key`, `!key`,
-/// joined by commas. Returns BadRequest, naming the offending part, if it can't.
+/// joined by commas. Returns BadRequest naming the first invalid term.
 Result<Selector> parseSelector(std::string_view Text);
 
-/// True if \p Value meets every condition of \p Wanted.
+/// True if \p Value satisfies every term of \p Wanted.
 bool matches(const Selector &Wanted, const Labels &Value);
 
 } // namespace valveshelf
