--- a/src/scheduler/pass.h
+++ b/src/scheduler/pass.h
@@ -1,94 +1,96 @@
 // SPDX-License-Identifier: Apache-2.0
-// One pass of placement, shared by its parts: rooms, advice, gangs and work that moves. Only the
-// files of this folder include it.
+// State and functions of one placement pass, shared by placement, advice, gangs, organisations and
+// the moving of work off leaving workers. Private to this directory.
 #pragma once
 
 #include "valveshelf/cell_state.h"
 
 namespace valveshelf::sched {
 
-/// One pass of placement over the queue.
+/// One placement pass over the queue.
 struct PlacementPass {
   CellState &Cell;
   TimePoint Now;
   Effects &Out;
-  std::set<std::string> UnreportedServices; ///< Services with a worker of the scheduler before that
-                                            ///< was not heard yet,
-  std::set<std::string>
-      ReportPendingServices;        ///< and with one that has neither answered nor failed to.
-  bool KeepsUrgentReserve = false;  ///< Room for urgent tasks is scarce in the cell.
-  std::optional<Resources> MaxFree; ///< In each dimension, the most that any worker had free; read
-                                    ///< by the first that asks (mostFree).
+  std::set<std::string> UnreportedServices;    ///< Services with an unreported worker of an earlier
+                                               ///< scheduler,
+  std::set<std::string> ReportPendingServices; ///< and those with one whose first call is neither
+                                               ///< answered nor failed.
+  bool KeepsUrgentReserve = false;             ///< Capacity for urgent tasks is scarce in the cell.
+  std::optional<Resources> MaxFree;            ///< Cached result of `maxFree`.
 };
 
 // Organisations (organisations.cpp).
 
-/// Why a step waits whose organisation has as much running as it may.
+/// `StepState::WaitReason` of a step whose organisation has no quota left.
 inline constexpr const char *WaitsForQuota = "its organisation's quota";
-/// The least that can start of the step at a time: one task, or a whole gang.
+/// The quota that the smallest start of the step takes: one task, or a whole gang.
 Resources minCharge(const StepSpec &Step);
-/// Notes what organisations may have running on workers that were not heard yet.
+/// Computes `OrganisationState::UnreportedUsage`.
 void chargeUnreported(PlacementPass &Pass);
 
 // Free capacity (rooms.cpp).
 
-/// True if little of the cell's free room is left to urgent tasks.
+/// True if the cell has little free capacity for further urgent tasks.
 bool isUrgentCapacityScarce(CellState &Cell);
-/// In each dimension, the most that any worker had free, and no question under way claimed, when
-/// the pass first asked.
+/// In each dimension, the most that any worker had free and unclaimed by advice requests when the
+/// pass first asked.
 const Resources &maxFree(PlacementPass &Pass);
 bool hasLabel(const WorkerInfo &Info, const std::string &Label);
-/// True if the worker is there and fit for the step.
+/// True if the worker is reachable, takes work and meets the step's constraints other than size.
 bool isEligible(const PlacementPass &Pass, const Worker &W, const Job &J, const StepState &Step);
-/// The same, and nothing begins there that has to begin apart.
+/// True if the worker is eligible and no isolated start is in progress there.
 bool isUsable(const PlacementPass &Pass, const Worker &W, const Job &J, const StepState &Step);
-/// What one task of the step takes of a worker.
+/// The resources that one task of the step takes on a worker.
 Resources needOf(const StepState &Step);
-/// What the step may still take of the worker.
+/// The resources of the worker that the step may still take.
 Resources freeCapacityFor(const PlacementPass &Pass, const Worker &W, const Job &J,
                           const StepState &Step);
 uint32_t countTasksOn(const StepState &Step, const Worker &W);
-/// True if the worker holds as many tasks of the step as it may.
+/// True if the worker holds as many tasks of the step as `StepSpec::MaxPerWorker` allows.
 bool isAtTaskLimit(const StepState &Step, const Worker &W);
-/// True if the step can meet its objective though others have to be stopped first.
+/// True if the step can still meet its objective after waiting for other runs to be stopped.
 bool benefitsFromPreemption(const PlacementPass &Pass, const Job &J, const StepState &Step);
-/// What stopping work less urgent than \p Priority would free.
+/// The resources that preempting runs less urgent than \p Priority would free.
 Resources preemptibleResources(const PlacementPass &Pass, const Worker &W, int Priority);
-/// Stops the work that loses least until what is planned on the worker has its room.
+/// Preempts runs less urgent than \p Priority, newest first, until everything planned on the worker
+/// fits.
 void preemptFor(PlacementPass &Pass, Worker &W, int Priority);
-/// The best worker with free room for the task; null: none.
+/// The best worker with free capacity for the task; null if there is none.
 Worker *selectWorker(PlacementPass &Pass, const Job &J, StepState &Step, const TaskState &Task);
-/// A worker where stopping less urgent work makes room; null: none.
+/// The worker with the most capacity after preemption if the task fits there; null if there is
+/// none.
 Worker *selectWorkerToPreempt(PlacementPass &Pass, const Job &J, StepState &Step,
                               const TaskState &Task);
-/// True if the task has just failed on the worker and goes elsewhere for a while.
+/// True if the task failed on the worker within `SchedulerLimits::FailureAvoidanceTime`.
 bool hasRecentlyFailedOn(const PlacementPass &Pass, const TaskState &Task, const Worker &W);
 
 // Advice (advice.cpp).
 
-/// True if the step needs no ticket there or has one that is valid for \p Time from now.
+/// True if the step needs no ticket there or has one that stays valid for \p Time.
 bool hasTicket(const PlacementPass &Pass, const Job &J, const StepState &Step, const Worker &W,
                Milliseconds Time = Milliseconds(0));
-/// From asking about so many workers until the answers can be used, when no lane is waited for.
+/// Time from a request about \p Workers workers until its answer can be used, without queueing.
 Milliseconds adviceLatency(const PlacementPass &Pass, const Job &J, const StepState &Step,
                            size_t Workers);
-/// True if a question of the step would be asked at once.
+/// True if `requestAdvice` would send a request of the step now.
 bool canRequestAdvice(const PlacementPass &Pass, const Job &J, const StepState &Step);
-/// True if the step may be planned on the worker: it has a ticket, or one can be asked for now.
+/// True if the step may be planned on the worker: it has a ticket or can request one now.
 bool canPlan(const PlacementPass &Pass, const Job &J, const StepState &Step, const Worker &W);
-/// Asks about the workers, unless the step's last question is still under way.
+/// Requests advice on the workers if the step may do so now, in one or more requests.
 void requestAdvice(PlacementPass &Pass, const Job &J, StepState &Step,
                    std::vector<std::string> Workers);
-/// Asks about workers of which nothing is known yet, those with the most room first.
+/// Requests advice on workers without an answer yet, those with the most free capacity first.
 void requestAdviceOnUnknown(PlacementPass &Pass, const Job &J, StepState &Step);
-/// Keeps tickets valid for a step that waits for room.
+/// Renews the tickets of a step that waits for capacity.
 void renewTickets(PlacementPass &Pass, const Job &J, StepState &Step);
-/// A step found no place among the workers known to be good for it.
+/// Looks for further workers for a step that fits none of the advised ones.
 void widenSearch(PlacementPass &Pass, const Job &J, StepState &Step);
-/// True if the step is worth a question now.
+/// False while every task of the step may turn out to run on a worker whose first report is
+/// pending.
 bool shouldRequestAdvice(const PlacementPass &Pass, const Job &J, const StepState &Step);
 
-/// Calls \p Visit with each worker on which advice lets the step run.
+/// Calls \p Visit with each worker on which the step may run by advice.
 template <class Visitor>
 void forEachAdvisedWorker(PlacementPass &Pass, const Job &J, const StepState &Step, Visitor Visit) {
   if (!J.Spec->Advice) {
@@ -103,20 +105,21 @@
 
 // Single tasks and gangs (placement.cpp, gangs.cpp).
 
-/// Why a step waits whose task may have crashed a worker.
-inline constexpr const char *WaitsForCrashSave = "what crashed under it is being saved";
+/// `StepState::WaitReason` of a step with a task whose crash count is being saved.
+inline constexpr const char *WaitsForCrashSave = "the crash count of a task is being saved";
 
+/// True if the task needs an attempt and can't be running anywhere.
 bool isPlaceable(const PlacementPass &Pass, const Job &J, const StepState &Step, uint32_t Index);
 uint32_t nextRun(const CellState &Cell, const StepState &Step, uint32_t Index);
 /// Orders the start of a task that is planned on the worker.
 void orderStart(PlacementPass &Pass, const Job &J, StepState &Step, uint32_t Index, Worker &W,
                 Attempt &A);
-/// Plans or launches a gang; false if it found no room.
+/// Plans a gang, or launches one that is planned. Returns false if it did neither.
 bool placeGang(PlacementPass &Pass, const Job &J, StepState &Step);
 
-// Workers that leave (leaving.cpp).
+// Leaving workers (leaving.cpp).
 
-/// Stops work that a leaving worker would take with it, where there is a place for it elsewhere.
+/// Stops runs on leaving workers that can continue on another worker now.
 void migrateFromLeavingWorkers(PlacementPass &Pass);
 
 } // namespace valveshelf::sched
