--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Where waiting tasks go: free room first, then room made by stopping work that can wait and saves
-// its progress; the order of the queue.
+// The placement pass over the queue: single tasks are placed on workers with free capacity, or else
+// where preemption of less urgent, checkpointing runs frees enough.
 #include "scheduler/crashes.h"
 #include "scheduler/pass.h"
 
@@ -8,14 +8,14 @@
 
 namespace valveshelf::sched {
 namespace {
-// After so many steps of one priority in a row that found no place, the pass leaves the rest of
-// that priority for the next one; keeps a pass short when much waits.
+// After this many consecutive unplaced steps of one priority the pass skips the rest of it, which
+// bounds the length of a pass while the queue is long.
 constexpr int MaxConsecutiveMisses = 40;
-// Steps that can wait are looked at this often while one of them finds no place, gangs every second
-// time; their work takes seconds. All are looked at in the same passes, so that room which has come
-// free meanwhile goes by the order of the queue and not to whichever is looked at next.
+// While a step waits for capacity, steps behind it that are not urgent are tried only in full scans
+// at this interval, gangs in every second one. Trying all of them in the same pass lets the order
+// of the queue decide who gets the capacity freed in between.
 constexpr Milliseconds FullScanInterval{40};
-// Weight of the newest urgent task in their usual size.
+// The newest urgent task has a weight of 1 / UrgentMeanWeight in the mean.
 constexpr int64_t UrgentMeanWeight = 64;
 
 PlacementPass beginPass(CellState &Cell, TimePoint Now, Effects &Out) {
@@ -47,7 +47,7 @@
 }
 
 namespace {
-// Notes for the log what was ordered for the step since \p Before starts.
+// Logs the starts that were ordered for the step after the first \p Before ones of the pass.
 void notePlaced(PlacementPass &Pass, const Job &J, StepState &Step, size_t Before) {
   if (Pass.Out.Starts.size() == Before)
     return;
@@ -65,8 +65,8 @@
   return std::max(Cell.FirstRun, Step.Tasks[Index].Run + 1);
 }
 
-// A scheduler that was replaced may have started a job that this one hears of only later; its runs
-// are being stopped by then.
+// A previous scheduler may have started a job that this one learned of only after a worker reported
+// the run. That run is being stopped; the task waits for its end.
 static bool hasOrphanedRun(const CellState &Cell, const TaskKey &Task) {
   const auto At = Cell.OrphanedRuns.lower_bound({Task, 0});
   return At != Cell.OrphanedRuns.end() && At->Task == Task;
@@ -83,7 +83,7 @@
 }
 
 namespace {
-// Starts what is planned and has its room and its ticket.
+// Starts planned attempts that have their resources and their ticket.
 void launchSingles(PlacementPass &Pass, const Job &J, StepState &Step) {
   if (Step.PlannedTasks == 0)
     return;
@@ -157,7 +157,7 @@
   return !Missed;
 }
 
-// Begins a common look at all steps that wait, if one is due.
+// Returns true if this pass is a full scan.
 bool beginFullScan(PlacementPass &Pass) {
   if (Pass.Now < Pass.Cell.NextFullScan)
     return false;
@@ -172,7 +172,7 @@
     Cell.FirstUnplaced = Entry;
 }
 
-// The first question of a step, unless nothing of it could start anyway.
+// Sends the first advice request of a step unless its organisation's quota prevents any start.
 void requestFirstAdvice(PlacementPass &Pass, const Job &J, StepState &Step) {
   const bool MayStart = isWithinQuota(Pass.Cell, J.Owner, minCharge(*Step.Spec));
   Step.WaitReason = MayStart ? "" : WaitsForQuota;
@@ -180,7 +180,8 @@
     requestAdviceOnUnknown(Pass, J, Step);
 }
 
-// True if the step is left to the next common look: a step before it waits for room.
+// True if the step is left to a later full scan: a step before it waits for capacity, or it is an
+// unplaced gang and this full scan skips those.
 bool isDeferred(const PlacementPass &Pass, const QueueKey &Entry, const StepState &Step,
                 bool IsFullScan) {
   if (Entry.Priority == 0 || Step.PlannedTasks > 0 || Step.Advice.HasNewAnswer)
@@ -190,7 +191,6 @@
   return Pass.Cell.FirstUnplaced && !(Entry < *Pass.Cell.FirstUnplaced);
 }
 
-// True if the step has a task that still has to be placed or launched.
 bool hasUnstartedTasks(const StepState &Step) {
   return Step.PlannedTasks > 0 ||
          std::any_of(Step.Tasks.begin(), Step.Tasks.end(),
@@ -225,7 +225,7 @@
       continue;
     }
     if (!Entry.Late && isLate(J, *Step, Now))
-      queueStep(Cell, J, *Step, Now); // behind those that can still meet theirs
+      queueStep(Cell, J, *Step, Now); // moves it behind the steps that are in time
     if (isDeferred(Pass, Entry, *Step, IsFullScan))
       continue;
     if (J.Spec->Advice && Step->Advice.AnsweredSlots.empty()) {
