--- a/src/scheduler/rooms.cpp
+++ b/src/scheduler/rooms.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What workers have free for a step, and what could be stopped to make room for it.
+// Free and preemptible capacity of workers, the reserve for urgent tasks, and the choice of the
+// best worker for a task.
 #include "scheduler/crashes.h"
 #include "scheduler/pass.h"
 
@@ -7,14 +8,14 @@
 
 namespace valveshelf::sched {
 namespace {
-// Room kept for an urgent task, over the mean size; three of four then fit.
+// Ratio of the size reserved for an urgent task to the mean size.
 constexpr double UrgentSizeMargin = 1.3;
-// Urgent tasks for which there is always room to be: two steps of the usual width.
+// Number of further urgent tasks for which the cell should always have capacity.
 constexpr int64_t MinUrgentTasks = 8;
-// Above what a far rack and an earlier failure add up to: on a worker where others are beginning a
-// task that begins apart has to wait for them.
+// Larger than the penalties of a distant rack and an earlier failure together: a task that has to
+// start alone would wait until the other runs on the worker have started.
 constexpr int BusyStartupPenalty = 4;
-// Below a far rack, which is slower than a worker that has just begun its life is for a while.
+// Smaller than the penalty of a distant rack, which slows a task down more.
 constexpr int SlowWorkerPenalty = 1;
 } // namespace
 
@@ -34,7 +35,7 @@
 }
 
 namespace {
-// The usual size of an urgent task, and somewhat more.
+// The mean need of urgent tasks with a margin.
 Resources typicalUrgentNeed(const CellState &Cell) {
   const auto WithMargin = [](int64_t Mean) {
     return static_cast<int64_t>(static_cast<double>(Mean) * UrgentSizeMargin);
@@ -43,18 +44,18 @@
 }
 } // namespace
 
-// Room kept on each worker for one urgent task is a fifth of a cell of small workers, and work that
-// can wait would stand before it while hundreds of urgent tasks could be started. It is kept only
-// while the cell as a whole has little of it.
+// A reserve on each worker can take a large part of a cell of small workers, so it is kept only
+// while the cell as a whole has little capacity for urgent tasks. Otherwise other work would wait
+// although many urgent tasks could still be started.
 bool isUrgentCapacityScarce(CellState &Cell) {
   const auto Required =
       static_cast<int64_t>(Cell.Limits.UrgentHeadroom * Cell.UrgentAttempts) + MinUrgentTasks;
   const Resources Need = typicalUrgentNeed(Cell);
   if (Need == Resources{})
-    return true; // nothing is known of urgent tasks yet
+    return true; // no urgent task was placed yet
   int64_t Fitting = 0;
-  // From where there was room last time: in a cell with some room a look at few workers is enough,
-  // however large the fleet.
+  // Starts at the worker that had capacity last time, so that few workers are visited in a large
+  // cell that has some.
   const size_t Count = Cell.Slots.size();
   const size_t First = Count == 0 ? 0 : Cell.UrgentScanStart % Count;
   for (size_t I = 0; I < Count; ++I) {
@@ -85,7 +86,7 @@
 }
 
 namespace {
-// What is kept free on the worker for urgent tasks: room for one of the usual size.
+// The capacity of the worker that is reserved for urgent tasks: enough for a typical one.
 Resources urgentReserve(const PlacementPass &Pass, const Worker &W) {
   const SchedulerLimits &Limits = Pass.Cell.Limits;
   const Resources &Total = W.Info.Capacity;
@@ -106,8 +107,8 @@
   return Need;
 }
 
-// What the step may still take. Work that can wait leaves some room for work that can't, but for
-// gangs, whose members are too large for what is left between them, and tasks that need it all.
+// Steps that are not urgent leave the reserve free. Gangs, whose members are large, and tasks that
+// fit a worker only without the reserve may use it.
 Resources freeCapacityFor(const PlacementPass &Pass, const Worker &W, const Job &J,
                           const StepState &Step) {
   const Resources Room = W.Info.Capacity - W.Booked - W.Planned;
@@ -127,15 +128,15 @@
   return Step.Spec->MaxPerWorker > 0 && countTasksOn(Step, W) >= Step.Spec->MaxPerWorker;
 }
 
-// True if the task has just failed on the worker. Where few advised workers have room it would go
-// back at once and use up its attempts on a worker that fails everything.
+// Without this a task that few workers can take would return to a failing worker at once and use up
+// its attempts there.
 bool hasRecentlyFailedOn(const PlacementPass &Pass, const TaskState &Task, const Worker &W) {
   return Task.FailedOn == &W && Pass.Now - Task.FailedAt < Pass.Cell.Limits.FailureAvoidanceTime;
 }
 
 namespace {
-// What could be stopped on the worker in favour of more urgent work: what is late already, or can
-// still meet its objective when it goes on elsewhere.
+// True if the attempt may be stopped for work of \p Priority: it is less urgent, and it is either
+// late already or can still meet its objective after continuing on another worker.
 bool canPreempt(const PlacementPass &Pass, const Attempt &A, int Priority) {
   if (A.Phase != AttemptPhase::Running || !A.IsPreemptible || A.Priority <= Priority)
     return false;
@@ -146,10 +147,9 @@
 }
 } // namespace
 
-// True if the step can meet its objective though others have to be stopped first.
 bool benefitsFromPreemption(const PlacementPass &Pass, const Job &J, const StepState &Step) {
   if (J.IsOverShare)
-    return false; // it gets the room that nobody within a share needs
+    return false; // it uses only capacity that no job within a share needs
   return Step.Spec->LongRunning ||
          Pass.Now + Pass.Cell.Limits.StopTime + Step.Spec->Estimate < J.Objective;
 }
@@ -164,20 +164,19 @@
   return Sum;
 }
 
-// Stops the work that loses least until \p Missing would be free.
 void preemptFor(PlacementPass &Pass, Worker &W, int Priority) {
   Resources Deficit = W.Booked + W.Planned - W.Info.Capacity;
   std::vector<std::pair<TimePoint, RunKey>> Candidates;
   for (const auto &[Run, A] : W.Attempts) {
     if (A.Phase == AttemptPhase::Stopping)
-      Deficit -= A.Need; // is being freed already
+      Deficit -= A.Need; // is being freed
     else if (canPreempt(Pass, A, Priority))
       Candidates.emplace_back(A.StartedAt, Run);
   }
   std::sort(Candidates.begin(), Candidates.end());
   while (!Candidates.empty() &&
          (Deficit.MilliCores > 0 || Deficit.MemoryMb > 0 || Deficit.Accelerators > 0)) {
-    const RunKey Run = Candidates.back().second; // the newest has the least to save
+    const RunKey Run = Candidates.back().second; // the newest loses the least work
     Candidates.pop_back();
     Deficit -= W.Attempts.at(Run).Need;
     W.Attempts.at(Run).IsPreempted = true;
@@ -186,7 +185,7 @@
 }
 
 namespace {
-// Smaller is better.
+// Rates a worker for a task; the smallest score is the best.
 struct Score {
   int Penalty = 0;
   int64_t Remaining = 0;
@@ -201,12 +200,12 @@
   const bool Far = !Step.Spec->PreferredRack.empty() && W.Info.Rack != Step.Spec->PreferredRack;
   Value.Penalty += Far ? 2 : 0;
   Value.Penalty += Task.FailedOn == &W ? 1 : 0;
-  // A caller waits for the slowest task: a worker that is still slow is taken when no other is.
+  // The slowest task decides when a job ends: workers that are still warming up come last.
   Value.Penalty += W.SlowUntil > Pass.Now ? SlowWorkerPenalty : 0;
-  // What may crash its worker goes where it can begin at once and takes least with it.
+  // A task that may crash its worker goes where it can start alone and affects the fewest runs.
   const bool Isolated = needsIsolatedStart(Step, Task);
   Value.Penalty += Isolated && !hasNoOtherStartups(W) ? BusyStartupPenalty : 0;
-  // Urgent work is spread; work that can wait is packed, which leaves large gaps for gangs.
+  // Urgent work is spread; other work is packed, which leaves large free blocks for gangs.
   const int64_t Remaining = freeCapacityFor(Pass, W, J, Step).MilliCores;
   Value.Remaining = J.Spec->Priority == 0 || Isolated ? -Remaining : Remaining;
   return Value;
@@ -233,7 +232,6 @@
   return Best;
 }
 
-// A worker where stopping less urgent work makes room; the one with most of it.
 Worker *selectWorkerToPreempt(PlacementPass &Pass, const Job &J, StepState &Step,
                               const TaskState &Task) {
   Worker *Best = nullptr;
@@ -243,7 +241,7 @@
   forEachAdvisedWorker(Pass, J, Step, [&](Worker &W) {
     const Resources Free = freeCapacityFor(Pass, W, J, Step);
     const Resources Max = Free + W.Preemptible;
-    // Most workers are passed over by this bound alone, without a look at each run there.
+    // This bound skips most workers without visiting their attempts.
     if (!fits(Need, Max) || (Best && Max.MilliCores <= BestRoom))
       return;
     if (!isUsable(Pass, W, J, Step) || isAtTaskLimit(Step, W) ||
