--- a/src/scheduler/advice.cpp
+++ b/src/scheduler/advice.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Advice: which workers to ask about, when, and what the answers mean.
+// Requests to the advice service: which workers they name, when they are sent, and the permits and
+// tickets that the answers give.
 #include "scheduler/pass.h"
 
 #include <algorithm>
@@ -7,45 +8,45 @@
 
 namespace valveshelf::sched {
 namespace {
-// Most workers named in one question for advice. (The platform's limit.)
+// The platform's limit of workers named in one request.
 constexpr size_t MaxWorkersPerRequest = 100;
-// Workers named for a step of single tasks. Seven of ten are good for quick checks, and not all of
-// those that had room have it still when the answer comes.
+// Workers named for a step of single tasks. Some are not permitted, and others have lost their free
+// capacity by the time the answer comes.
 constexpr size_t MinWorkersPerRequest = 8;
 constexpr size_t WorkersPerTask = 6;
-// Tickets of waiting steps are renewed where asking takes longer than this; a shorter wait for them
-// costs less than the question.
+// Tickets of waiting steps are renewed only if a request takes longer than this; otherwise
+// requesting them when needed is cheaper.
 constexpr Milliseconds MinRenewalTime{100};
-// They are asked for so long before they are needed, beyond the time of the question.
+// Added to the duration of a request to get the time at which its answer can be used.
 constexpr Milliseconds RenewalMargin{200};
-// Part of the lanes that renewals may take: a third, so that first questions find one free.
+// Renewals may use 1 / RenewalShareDivisor of the advice concurrency, so that first requests are
+// not delayed by them.
 constexpr uint32_t RenewalShareDivisor = 3;
-// A question that got no answer is asked again after this time.
+// Pause after a failed request.
 constexpr Milliseconds AdviceRetryPause{50};
-// A gang asks about as many workers as should have seats for so many times its members. One worker
-// in four that is good is a draw: with 150 members the sum is off by a tenth.
+// Ratio of the task capacity that a request should find to the tasks to place, since the number of
+// workers that turn out to be permitted varies.
 constexpr double TaskCapacityMargin = 1.3;
-// Part of the workers that are taken to be good before any answer is known, and the weight of a
-// whole question of a hundred in the average.
+// Fraction of permitted workers assumed before the first answer, weight of a request of
+// MaxWorkersPerRequest workers in the moving average, and the smallest fraction assumed.
 constexpr double InitialApprovalRate = 0.3;
 constexpr double ApprovalRateWeight = 0.2;
 constexpr double MinApprovalRate = 0.02;
-// Workers are named beyond those needed as long as they make a question longer by no more than
-// this.
+// Further workers are named as long as they lengthen a request by no more than this ratio.
 constexpr double MaxExtraTimeRatio = 0.25;
-// Part of the lanes that one step's questions may take at a time; two such gangs leave half.
+// Requests of one step may use 1 / StepShareDivisor of the advice concurrency.
 constexpr uint32_t StepShareDivisor = 4;
-// Questions that may be out, as parts of the lanes: of steps that can wait, and of those that are
-// late. The rest stays with the steps, where the order of the queue holds and where it is decided
-// when it is asked which workers have room. Two thirds of the lanes take long questions.
+// Limits of outstanding requests, as ratios of the advice concurrency: for steps that are not
+// urgent, and for late ones. Further requests are not queued: they are made later, in the order of
+// the queue and with the free capacity at that time.
 constexpr double WaitingRequestRatio = 1.2;
 constexpr double LateRequestRatio = 1.0;
-// While half of the lanes are free a gang's questions name half as many, so that it has its answers
+// Workers named in one request of a gang while concurrency is spare; shorter requests are answered
 // sooner.
 constexpr size_t GangWorkersPerRequest = 50;
 
-// How many workers a question names: a gang needs many at a time; for others a few for each task
-// are enough, and a short question is answered sooner.
+// Workers that a request of the step names. A gang needs many at the same time; for single tasks a
+// few per task suffice, and a short request is answered sooner.
 size_t workersPerRequest(const StepState &Step) {
   if (Step.Spec->Gang)
     return MaxWorkersPerRequest;
@@ -53,7 +54,7 @@
                           MinWorkersPerRequest + WorkersPerTask * Step.Spec->Count);
 }
 
-// Wishes for more workers, if one of those that are not ready yet could take the step.
+// Requests more workers if one that is not in use yet could take a task of the step.
 void noteWorkerShortage(PlacementPass &Pass, const Job &J, const StepState &Step) {
   if (Pass.Cell.WorkerShortage)
     return;
@@ -68,7 +69,7 @@
 
 bool isSlotBefore(const AdviceState::Permit &Known, uint32_t Slot) { return Known.Slot < Slot; }
 
-// Keeps the newest permit of each worker.
+// Adds a permit, or replaces the worker's older one.
 void addPermit(AdviceState &Known, AdviceState::Permit New) {
   const auto At =
       std::lower_bound(Known.Permits.begin(), Known.Permits.end(), New.Slot, isSlotBefore);
@@ -88,26 +89,25 @@
 }
 
 namespace {
-// True while half of the lanes are free. Several questions at a time for a gang cost more lanes'
-// time than one after the other; when all are in use, that time is what everybody waits for.
+// True while half of the advice concurrency is unused. Only then is a gang's request split into
+// parallel ones, which take more service time in total.
 bool hasSpareConcurrency(const CellState &Cell) {
   return Cell.OutstandingAdviceRequests * 2 < Cell.AdviceConcurrency;
 }
 
-// Most workers that one question of the step names.
 size_t maxWorkersPerRequest(const CellState &Cell, const StepState &Step) {
   return Step.Spec->Gang && hasSpareConcurrency(Cell) ? GangWorkersPerRequest
                                                       : MaxWorkersPerRequest;
 }
 
-// Most questions of one step at a time.
+// The largest number of parallel requests of one step.
 size_t maxParallelRequests(const CellState &Cell) {
   return hasSpareConcurrency(Cell)
              ? std::max<uint32_t>(1, Cell.AdviceConcurrency / StepShareDivisor)
              : 1;
 }
 
-// Workers named in each of the questions about so many.
+// Workers named in each request if \p Workers are split over parallel requests.
 size_t splitRequestSize(const CellState &Cell, const StepState &Step, size_t Workers) {
   const size_t Limit = maxWorkersPerRequest(Cell, Step);
   const size_t Needed = (Workers + Limit - 1) / Limit;
@@ -115,14 +115,13 @@
   return std::min(MaxWorkersPerRequest, (Workers + Requests - 1) / Requests);
 }
 
-// Late, or beyond its organisation's share.
+// True if the step is late or beyond its organisation's share.
 bool isQueuedLast(const StepState &Step) {
   return Step.Queued && (Step.Queued->Late || Step.Queued->IsOverShare);
 }
 
-// Urgent steps always may. Otherwise a backlog of late work on a full fleet has all lanes stand in
-// line for questions whose answers are of no use any more, and new work waits behind them for
-// longer than a ticket holds.
+// Urgent steps have no limit. For others the limit keeps a backlog of late work from filling the
+// request queue, where newer work would wait for longer than a ticket is valid.
 bool hasRequestBudget(const CellState &Cell, const Job &J, const StepState &Step) {
   const double Rate = isQueuedLast(Step) ? LateRequestRatio : WaitingRequestRatio;
   const auto Limit = static_cast<uint32_t>(std::ceil(Rate * Cell.AdviceConcurrency));
@@ -137,8 +136,8 @@
          hasRequestBudget(Pass.Cell, J, Step);
 }
 
-// Room that is planned without a ticket is held until one has come. Where no question could be
-// asked it stood empty for the whole time of a plan.
+// Capacity planned without a ticket stays reserved until the ticket arrives. If none can be
+// requested it would be unused until the plan times out.
 bool canPlan(const PlacementPass &Pass, const Job &J, const StepState &Step, const Worker &W) {
   return hasTicket(Pass, J, Step, W) || canRequestAdvice(Pass, J, Step);
 }
@@ -150,7 +149,6 @@
 }
 } // namespace
 
-// With what it takes until the answers are used.
 Milliseconds adviceLatency(const PlacementPass &Pass, const Job &J, const StepState &Step,
                            size_t Workers) {
   if (!J.Spec->Advice)
@@ -158,9 +156,8 @@
   return requestTime(*J.Spec->Advice, splitRequestSize(Pass.Cell, Step, Workers)) + RenewalMargin;
 }
 
-// What does not fit one question goes into several at the same time. A large gang needs hundreds of
-// workers asked about; with one question after the other the tickets of the first answers run out
-// before the last has come.
+// Requests beyond the size limit are sent in parallel. A large gang needs hundreds of workers; with
+// sequential requests the tickets of the first answer would expire before the last answer.
 void requestAdvice(PlacementPass &Pass, const Job &J, StepState &Step,
                    std::vector<std::string> Workers) {
   if (Workers.empty() || !canRequestAdvice(Pass, J, Step))
@@ -181,11 +178,10 @@
 }
 
 namespace {
-/// A worker that may be asked about.
+/// A worker that a request may name.
 struct Candidate {
-  int64_t TaskCapacity =
-      0;            ///< Tasks of the step for which it has room that nobody else has asked for.
-  int64_t Room = 0; ///< Its free room.
+  int64_t TaskCapacity = 0; ///< Tasks of the step that fit its free, unclaimed capacity.
+  int64_t Room = 0;         ///< Its free capacity in thousandths of a core.
   Worker *W = nullptr;
 };
 
@@ -194,14 +190,14 @@
   return Step.Spec->MaxPerWorker > 0 ? std::min<int64_t>(Count, Step.Spec->MaxPerWorker) : Count;
 }
 
-// In the room that is free.
+// Tasks of the step that fit the worker's free, unclaimed capacity.
 int64_t freeTaskCapacity(const PlacementPass &Pass, const Job &J, const StepState &Step,
                          const Worker &W) {
   return countFitting(needOf(Step), freeCapacityFor(Pass, W, J, Step) - W.Claimed,
                       maxTasksPerWorker(Step));
 }
 
-// With what a gang may have stopped for it.
+// The same, including what a gang may free by preemption.
 int64_t taskCapacity(const PlacementPass &Pass, const Job &J, const StepState &Step,
                      const Worker &W) {
   if (!Step.Spec->Gang || isQueuedLast(Step) || !benefitsFromPreemption(Pass, J, Step))
@@ -216,20 +212,20 @@
   return Known == Cell.ApprovalRates.end() ? InitialApprovalRate : Known->second;
 }
 
-// Seats that the step still lacks beside those on workers that are known to be good for it.
+// The task capacity that the step still needs in addition to that of its permitted workers.
 double missingTaskCapacity(const PlacementPass &Pass, const Job &J, const StepState &Step) {
   double Missing = 0;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
     Missing += isPlaceable(Pass, J, Step, I) ? TaskCapacityMargin : 0;
   if (!Step.Spec->Gang)
-    return std::max(Missing, TaskCapacityMargin); // one that is to move has none
+    return std::max(Missing, TaskCapacityMargin); // a run to be moved is not placeable
   for (const AdviceState::Permit &Permit : Step.Advice.Permits)
     if (const Worker *W = Pass.Cell.Slots[Permit.Slot]; W && isUsable(Pass, *W, J, Step))
       Missing -= static_cast<double>(taskCapacity(Pass, J, Step, *W));
   return Missing;
 }
 
-// Workers that cost a question little beside the time that it takes anyway.
+// Number of workers that lengthen a request by at most MaxExtraTimeRatio.
 size_t cheapRequestSize(const AdvicePolicy &Policy) {
   if (Policy.LatencyPerWorker.count() <= 0)
     return MaxWorkersPerRequest;
@@ -239,8 +235,8 @@
                             MaxWorkersPerRequest);
 }
 
-// How many of the candidates to ask about: so many that the good ones among them should have seats
-// for what the step lacks; none if hardly any has room, unless lanes stand idle.
+// Number of candidates to name: enough that the permitted ones among them are expected to provide
+// the missing task capacity. 0 if none has capacity and concurrency is not spare.
 size_t countWorkersToName(const PlacementPass &Pass, const Job &J, const StepState &Step,
                           std::vector<Candidate> &Sorted) {
   const size_t Limit =
@@ -258,7 +254,7 @@
       break;
     Found += static_cast<double>(Next.TaskCapacity) * Rate;
   }
-  // A gang that waits for room learns meanwhile on which workers it may use it.
+  // A gang that lacks capacity collects permits while it waits.
   if (Step.Spec->Gang && Found < Missing)
     return Limit;
   if (Count == 0 && !hasSpareConcurrency(Pass.Cell))
@@ -266,7 +262,8 @@
   return std::clamp(Count, std::min(cheapRequestSize(*J.Spec->Advice), Limit), Limit);
 }
 
-// What the question is likely to take of the workers' room is left to it by questions after it.
+// Claims the resources that the step is expected to use on the named workers, so that later
+// requests name other ones.
 void addClaims(PlacementPass &Pass, const Job &J, const StepState &Step,
                const std::vector<Candidate> &Workers) {
   const double Rate = approvalRate(Pass.Cell, J);
@@ -293,8 +290,8 @@
   Cell.AdviceClaims.erase(Found);
 }
 
-// A gang needs all its tickets at the same time: those of workers that are known to be good are
-// renewed together with questions about others.
+// A gang needs valid tickets for all its workers at the same time, so a request for further workers
+// also renews the tickets that would expire before its answer.
 void addExpiringPermits(const PlacementPass &Pass, const Job &J, const StepState &Step,
                         std::vector<std::string> &Names) {
   const Milliseconds Time = adviceLatency(Pass, J, Step, Names.size());
@@ -307,11 +304,10 @@
 }
 } // namespace
 
-// Asks about workers of which nothing is known yet, those with the most room first.
 void requestAdviceOnUnknown(PlacementPass &Pass, const Job &J, StepState &Step) {
   if (!J.Spec->Advice || !canRequestAdvice(Pass, J, Step))
     return;
-  // In a full cell most steps that wait come no further, which keeps a pass short.
+  // Most waiting steps of a full cell stop here, which keeps the pass short.
   const bool IsSingle = !Step.Spec->Gang && J.Spec->Priority > 0;
   if (IsSingle && !hasSpareConcurrency(Pass.Cell) && !fits(needOf(Step), maxFree(Pass)))
     return;
@@ -343,9 +339,9 @@
   addClaims(Pass, J, Step, Unknown);
 }
 
-// Keeps tickets valid for a step that waits for room. Otherwise the room that it gets stands empty
-// until they have been asked for again. Only while half of the lanes are free: in a full cell a
-// renewal takes the lane of a question that starts work now.
+// Without valid tickets, capacity that becomes free would be unused until they have been requested
+// again. Only while concurrency is spare: otherwise renewals delay requests that let work start
+// now.
 void renewTickets(PlacementPass &Pass, const Job &J, StepState &Step) {
   if (!J.Spec->Advice || Step.Advice.OutstandingRequests > 0 || Step.Queued->Late ||
       !isWithinQuota(Pass.Cell, J.Owner, minCharge(*Step.Spec)) ||
@@ -375,7 +371,6 @@
     Pass.Cell.RenewingTickets.insert(Step.Key);
 }
 
-// A step found no place among the workers known to be good for it.
 void widenSearch(PlacementPass &Pass, const Job &J, StepState &Step) {
   if (J.Spec->Advice)
     requestAdviceOnUnknown(Pass, J, Step);
@@ -383,8 +378,8 @@
     noteWorkerShortage(Pass, J, Step);
 }
 
-// Just after a takeover most steps turn out to be running. To ask for advice on all of them before
-// the workers have answered would hold up those that need it.
+// After a takeover most steps turn out to be running already. Requests for all of them before the
+// workers have reported would delay the steps that need advice.
 bool shouldRequestAdvice(const PlacementPass &Pass, const Job &J, const StepState &Step) {
   return Pass.ReportPendingServices.count(J.Spec->Service) == 0 ||
          std::any_of(Step.Tasks.begin(), Step.Tasks.end(), [](const TaskState &Task) {
@@ -407,7 +402,7 @@
 }
 
 namespace {
-// A question of the step is over.
+// Ends an outstanding request of the step, answered or failed.
 void finishRequest(CellState &Cell, const StepKey &Key, StepState *Step) {
   Cell.RenewingTickets.erase(Key);
   Cell.OutstandingAdviceRequests -= Cell.OutstandingAdviceRequests > 0 ? 1 : 0;
@@ -417,7 +412,8 @@
     releaseClaims(Cell, Key);
 }
 
-// Learns from the answer how many of the workers are good, for the questions after it.
+// Updates the moving average from an answer in which \p Permitted of \p Fresh workers are
+// permitted.
 void updateApprovalRate(CellState &Cell, const std::string &Queue, size_t Fresh, size_t Permitted) {
   if (Fresh == 0)
     return;
