--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Gangs: planned whole, their room and tickets gathered, and started in one pass.
+// Gangs: all members are planned together and started in one pass once every member has its
+// resources and its ticket.
 #include "scheduler/crashes.h"
 #include "scheduler/pass.h"
 
@@ -7,14 +8,14 @@
 
 namespace valveshelf::sched {
 namespace {
-// A step that could not be planned in time waits so long before the next try.
+// Pause before the next plan after one that was dropped.
 constexpr Milliseconds ReplanPause{100};
 
-// Tasks of a gang that a worker could take.
+// A worker and the number of the gang's tasks that fit there.
 struct GangCandidate {
   Worker *W = nullptr;
-  int64_t FreeTasks = 0; ///< In the room that is free,
-  int64_t MaxTasks = 0;  ///< and when less urgent work is stopped.
+  int64_t FreeTasks = 0; ///< In its free capacity.
+  int64_t MaxTasks = 0;  ///< With preemption, if the plan may preempt.
 };
 
 std::vector<GangCandidate> findGangCandidates(PlacementPass &Pass, const Job &J,
@@ -50,7 +51,7 @@
   return Sum;
 }
 
-// Seats within one rack if the gang wants that and one rack is enough.
+// The candidates of one rack if the gang prefers a single rack and one is large enough, else all.
 std::vector<GangCandidate> preferOneRack(const StepState &Step,
                                          const std::vector<GangCandidate> &Candidates) {
   std::map<std::string, std::vector<GangCandidate>> Racks;
@@ -68,7 +69,7 @@
 
 void planGang(PlacementPass &Pass, const Job &J, StepState &Step,
               std::vector<GangCandidate> Candidates, bool Preempts) {
-  // Free seats first, then those that cost least: few workers with many seats each.
+  // Most free capacity first, which needs the fewest workers and the least preemption.
   std::sort(Candidates.begin(), Candidates.end(),
             [](const GangCandidate &A, const GangCandidate &B) {
               return std::pair(A.FreeTasks, A.MaxTasks) > std::pair(B.FreeTasks, B.MaxTasks);
@@ -100,7 +101,7 @@
     Task.NotBefore = Pass.Now + ReplanPause;
 }
 
-// True if each member may be started now, which is noted of all.
+// True if each member may be started now. Calls `mayStartNow` for every member in any case.
 bool mayLaunchAll(PlacementPass &Pass, const StepState &Step) {
   bool All = true;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
@@ -108,13 +109,13 @@
   return All;
 }
 
-// Starts a planned gang once each member has its room and its ticket.
+// Starts a planned gang if every member has its resources and its ticket. Returns false if not.
 bool launchGang(PlacementPass &Pass, const Job &J, StepState &Step) {
   std::set<Worker *> Workers;
   for (const TaskState &Task : Step.Tasks)
     Workers.insert(Task.AssignedWorker);
-  // Tickets that would run out while others are asked for are asked for with them; otherwise those
-  // of a gang on many workers are never all valid together.
+  // Tickets that would expire before the answer are renewed in the same request. Otherwise the
+  // tickets of a gang on many workers would never all be valid at the same time.
   const Milliseconds Latency = adviceLatency(Pass, J, Step, Workers.size());
   std::vector<std::string> NoTicket;
   bool HasTickets = true;
@@ -134,8 +135,8 @@
   }
   const bool Ready = HasRoom && HasTickets && mayLaunchAll(Pass, Step);
   if (!Ready) {
-    Step.WaitReason = !HasRoom      ? "room is being made"
-                      : !HasTickets ? "tickets are asked for"
+    Step.WaitReason = !HasRoom      ? "its resources are not free yet"
+                      : !HasTickets ? "tickets are missing"
                                     : WaitsForCrashSave;
     requestAdvice(Pass, J, Step, std::move(NoTicket));
     if (Pass.Now - Step.PlannedAt > Pass.Cell.Limits.PlanTimeout)
@@ -159,7 +160,7 @@
          Found->second.Phase == AttemptPhase::Planned;
 }
 
-// Members whose room is only held go when others of the plan have lost theirs with their worker.
+// Drops the planned members of a gang that has lost others with their worker.
 void dropPartialPlan(PlacementPass &Pass, StepState &Step) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
     Worker *W = Step.Tasks[I].AssignedWorker;
