--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The life of a job: rounds, steps and tasks, from acceptance to its saved end.
+// Lifecycle of jobs with their rounds, steps and tasks, from acceptance to the saved end.
 #include "scheduler/crashes.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 namespace valveshelf::sched {
 namespace {
 
-// The longest chain of declared work through the steps.
+// The largest sum of estimates along a chain of dependent steps.
 Milliseconds criticalPathLength(const JobSpec &Spec) {
   std::vector<Milliseconds> FinishTimes(Spec.Steps.size());
   Milliseconds CriticalPath{0};
@@ -21,7 +21,7 @@
   return CriticalPath;
 }
 
-// By then the job, or a round that is due at \p Due, has to be complete.
+// When a job accepted, or a round due, at \p Due has to be complete.
 TimePoint objectiveOf(const CellState &Cell, const JobSpec &Spec, WallTime Due) {
   const auto Chain =
       std::chrono::duration_cast<Milliseconds>(criticalPathLength(Spec) * Spec.CriticalPathFactor);
@@ -50,7 +50,7 @@
   return Round;
 }
 
-// The members of a gang end together; those that are not listed as ended yet need no order.
+// The members of a gang end together, so the others need no stop order.
 void expectEnds(StepState &Step, uint32_t Run, TimePoint Now) {
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I)
     if (Attempt *A = attemptOf(Step, I); A && Step.Tasks[I].Run == Run)
@@ -72,13 +72,13 @@
     }
 }
 
-// Stops what other runs of a task that is done may still be there.
+// Stops a newer run of a task that an older run has completed.
 void stopSupersededRun(CellState &Cell, StepState &Step, const RunKey &Ended, TimePoint Now,
                        Effects &Out) {
   const TaskState &Task = Step.Tasks[Ended.Task.Index];
   if (Task.AssignedWorker && Task.Run != Ended.Run)
-    stopAttempt(Cell, *Task.AssignedWorker, {Ended.Task, Task.Run}, "an earlier run is done", Now,
-                Out);
+    stopAttempt(Cell, *Task.AssignedWorker, {Ended.Task, Task.Run},
+                "an earlier run has completed the task", Now, Out);
 }
 
 void stepDone(CellState &Cell, Job &J, RoundState &Round, TimePoint Now, Effects &Out) {
@@ -123,7 +123,7 @@
       {Run, W ? W->Info.Id : std::string(), Failures.size(), J.Spec->MaxAttempts});
   requestSave(Cell, J, Out);
   if (!Step.Spec->LongRunning && Failures.size() >= static_cast<size_t>(J.Spec->MaxAttempts))
-    endJob(Cell, J, JobPhase::Failed, "a task failed as often as allowed", Now, Out);
+    endJob(Cell, J, JobPhase::Failed, "a task has used up its attempts", Now, Out);
 }
 
 void keepCheckpoint(StepState &Step, uint32_t Index, const std::string &Checkpoint) {
@@ -171,7 +171,6 @@
     return;
   if (Step.RunnableSince == TimePoint{})
     Step.RunnableSince = Now;
-  // A step whose work would end after the objective earns little; it goes behind the others.
   Step.Queued =
       QueueKey{J.IsOverShare, isLate(J, Step, Now), J.Spec->Priority, J.Objective, Step.Key};
   Cell.Queue.insert(*Step.Queued);
@@ -189,7 +188,7 @@
   J.Revision = Revision;
   J.Objective = objectiveOf(Cell, *Spec, Spec->Repetitions ? Spec->FirstDue : Spec->AcceptedAt);
   if (Spec->Repetitions > 0)
-    return; // its rounds are made when they are due
+    return; // rounds are made when they are due
   RoundState &Round = makeRound(Cell, J, 0, Now);
   for (StepState &Step : Round.Steps)
     for (TaskState &Task : Step.Tasks)
@@ -238,7 +237,7 @@
   }
 }
 
-// What lies within its organisation's share, in the order in which it was handed in.
+// Decides anew which jobs are within their organisation's share, in the order of acceptance.
 static void assignShares(CellState &Cell) {
   std::vector<Job *> ByTime;
   for (auto &[Id, J] : Cell.Jobs)
@@ -292,7 +291,7 @@
 }
 
 namespace {
-// Lets workers forget the ends whose saves are durable; returns those that have no other.
+// Lets workers forget ends whose saves are durable. Returns the workers with no unsaved end left.
 std::vector<std::string> releaseEnds(CellState &Cell) {
   std::vector<std::string> Clear;
   std::erase_if(Cell.SlotsWithUnsavedEnds, [&](uint32_t Slot) {
@@ -310,7 +309,7 @@
   return Clear;
 }
 
-// The job and its progress are as the store has them.
+// Records that saves up to \p Number are durable, and forgets the job if it has ended.
 void noteSaved(CellState &Cell, Job &J, uint64_t Number, uint64_t Revision,
                uint64_t ProgressRevision, WallTime Now) {
   J.Revision = Revision;
@@ -387,7 +386,7 @@
   if (How == RunOutcome::Failed)
     taskFailed(Cell, J, *Step, Run, W, Now, Out);
   else if (!Checkpoint.empty())
-    requestSave(Cell, J, Out); // a successor goes on from the checkpoint
+    requestSave(Cell, J, Out); // a later scheduler resumes from the checkpoint
   queueStep(Cell, J, *Step, Now);
 }
 
