--- a/src/scheduler/organisations.cpp
+++ b/src/scheduler/organisations.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What organisations may have running across all workers.
+// Quotas and shares of organisations over all workers of the cell.
 #include "scheduler/pass.h"
 
 namespace valveshelf::sched {
@@ -27,9 +27,8 @@
   return &Known;
 }
 
-// A job beyond its organisation's share goes behind all that is within one, stops nothing and may
-// be stopped for others. An organisation that hands in more than the cell can do makes no other one
-// late.
+// Jobs beyond the share are queued behind all jobs within one, preempt nothing and may be
+// preempted, so that an organisation that submits more than its share doesn't make others late.
 bool consumeShare(OrganisationState &Org, WallTime At) {
   if (Org.Weight <= 0)
     return true;
@@ -54,7 +53,7 @@
 Resources minCharge(const StepSpec &Step) { return Step.Gang ? Step.Need * Step.Count : Step.Need; }
 
 namespace {
-// The tasks of the step that may run where this scheduler has not heard of them.
+// The number of tasks of the step that may run on workers without a report yet.
 uint32_t countUnreportedTasks(const PlacementPass &Pass, const Job &J, const StepState &Step) {
   const std::string &Service = J.Spec->Service;
   const bool HasUnreported = Pass.UnreportedServices.count(Service) > 0;
@@ -68,7 +67,7 @@
   return Count;
 }
 
-// The most that all unheard workers can hold together; empty if the size of one is not known.
+// The total capacity of all unreported workers; empty if the capacity of one is not known.
 std::optional<Resources> unreportedCapacity(const CellState &Cell) {
   Resources Sum;
   for (const auto &[Id, Service] : Cell.UnreportedWorkers) {
@@ -83,10 +82,9 @@
 }
 } // namespace
 
-// After a takeover each organisation may have running, beside what was heard of, all its old tasks
-// that no worker has reported, though no more than the workers that are still unheard can hold.
-// With the first bound alone an organisation with a backlog stood still until the last worker was
-// heard, up to the length of a lease.
+// After a takeover, all old tasks of an organisation that no worker has reported may be running,
+// but no more than fit the unreported workers. Without the second bound an organisation with a
+// backlog could start nothing until the last worker has reported or its lease has expired.
 void chargeUnreported(PlacementPass &Pass) {
   for (auto &[Name, Org] : Pass.Cell.Organisations)
     Org.UnreportedUsage = {};
