--- a/src/scheduler/capacity_test.cpp
+++ b/src/scheduler/capacity_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Workers whose capacity shrinks and grows while they run.
+// Placement on workers whose listed capacity changes while they hold runs.
 #include "replay/placement_scene.h"
 
 #include <gtest/gtest.h>
@@ -8,12 +8,12 @@
 namespace {
 using namespace std::chrono_literals;
 
-// Waiting steps are looked at again after this time.
+// Long enough for waiting steps to be tried again.
 constexpr Milliseconds RescanTime{50};
-// Nothing of these tests is late.
+// Large enough that no job is late.
 constexpr double CriticalPathFactor = 100;
 
-// One worker of ten cores.
+// A cell with one worker of ten cores.
 struct OneWorker : PlacementScene {
   OneWorker() : PlacementScene(0) { addWorker("w", {10000, 100000, 0}); }
   void listCapacity(int64_t MilliCores) { listWorker("w", {MilliCores, 100000, 0}); }
@@ -26,7 +26,7 @@
   Given.listCapacity(7000);
   Given.submit(0, tasks(1, 2000, 10s), CriticalPathFactor);
   EXPECT_TRUE(Given.pass(RescanTime).Starts.empty());
-  Given.listCapacity(5000); // less than what runs there, which runs on
+  Given.listCapacity(5000); // less than its runs use; they go on
   Effects Out = Given.pass(RescanTime);
   EXPECT_TRUE(Out.Starts.empty());
   EXPECT_TRUE(Out.Stops.empty());
@@ -45,14 +45,14 @@
   EXPECT_TRUE(Out.Starts.empty());
   Effects Then;
   stopAnswered(Given.Cell, "w", Out.Stops.at(0).Run, true, Given.Now, Then);
-  EXPECT_TRUE(Given.pass(RescanTime).Starts.empty()) << "it may be there still";
+  EXPECT_TRUE(Given.pass(RescanTime).Starts.empty()) << "the run may still be there";
   WorkerReport Ended;
   Ended.Ended.push_back({1, Out.Stops[0].Run, RunOutcome::Stopped, ""});
   workerReported(Given.Cell, "w", Ended, Given.Now, Given.Now, Then);
   EXPECT_EQ(Given.pass(RescanTime).Starts.size(), 1u);
 }
 
-// Room is planned, and the tickets come after it has gone.
+// The capacity shrinks after the attempts were planned and before their tickets arrive.
 TEST(Capacity, APlanIsNotLaunchedOnAShrunkWorker) {
   for (const bool Gang : {false, true}) {
     OneWorker Given;
@@ -67,7 +67,7 @@
     Out = Given.pass(RescanTime);
     EXPECT_EQ(Out.Starts.size(), Gang ? 0u : 1u);
     Given.listCapacity(10000);
-    Given.Now += 3s; // a plan that came to nothing is given up by then
+    Given.Now += 3s; // later than PlanTimeout
     for (int I = 0; I < 4; ++I) {
       for (const Effects::AdviceRequest &Request : Out.AdviceRequests)
         adviceAnswered(Given.Cell, Request.Step, Request.Workers, {{"w", "ticket"}}, 2s, Given.Now);
@@ -77,7 +77,7 @@
   }
 }
 
-// The store's record of the worker has its room of before; the list has what it says of itself now.
+// The store's record has the worker's old capacity; the list has the current one.
 TEST(Capacity, ATakeoverUsesTheListedCapacityNotTheRecordedOne) {
   for (const bool RecordFirst : {false, true}) {
     OneWorker Given;
--- a/src/scheduler/organisations_test.cpp
+++ b/src/scheduler/organisations_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What organisations may have running: never above their maximum, whatever the moment.
+// Quotas and shares of organisations: usage never exceeds the maximum, also across takeovers and
+// while the outcome of orders is unknown.
 #include "valveshelf/cell_records.h"
 #include "valveshelf/cell_state.h"
 
@@ -142,7 +143,7 @@
   EXPECT_EQ(Given.pass().size(), 1u);
 }
 
-// A burst of a second's worth is within the share, and what time brings back; not more.
+// Guards the token bucket: its size, its rate and times that go backwards.
 TEST(Organisations, TheShareIsARateWithABurstOfOneSecond) {
   OrganisationState Org;
   Org.Weight = 3;
@@ -151,7 +152,8 @@
   EXPECT_FALSE(consumeShare(Org, At));
   EXPECT_FALSE(consumeShare(Org, At + 300ms));
   EXPECT_TRUE(consumeShare(Org, At + 400ms));
-  EXPECT_FALSE(consumeShare(Org, At + 350ms)) << "handed in at another process";
+  EXPECT_FALSE(consumeShare(Org, At + 350ms))
+      << "submitted at another process, whose time is behind";
   EXPECT_TRUE(consumeShare(Org, At + 9s) && consumeShare(Org, At + 9s) &&
               consumeShare(Org, At + 9s));
   EXPECT_FALSE(consumeShare(Org, At + 9s));
@@ -159,7 +161,7 @@
   EXPECT_TRUE(consumeShare(Org, At + 9s)) << "no share is set";
 }
 
-// After a takeover the same jobs are beyond it, by the time at which they were handed in.
+// A takeover must find the same jobs beyond the share, by their times of acceptance.
 TEST(Organisations, TheShareIsRecomputedAtATakeover) {
   Scene Given(2, 5000);
   Given.Cell.Organisations.at("north").Weight = 1;
@@ -179,7 +181,7 @@
   EXPECT_EQ(Given.pass().size(), 0u);
 }
 
-// The scheduler before may have had all of the maximum running on the worker that is not heard yet.
+// Old tasks may all run on the worker without a report; new starts must leave quota for them.
 TEST(Organisations, AfterATakeoverOldTasksCountUntilTheirWorkersReport) {
   Scene Given(3, 4000);
   workerMayHoldRuns(Given.Cell, workerOf("w0"), Given.Now + 5s);
@@ -189,18 +191,18 @@
   Given.report("w1", {});
   Given.report("w2", {});
   Given.submit("north", 3, 1000);
-  EXPECT_EQ(Given.pass().size(), 1u) << "three of four may run unheard";
+  EXPECT_EQ(Given.pass().size(), 1u) << "three of four cores may be in use on w0";
   Given.report("w0", {});
   EXPECT_EQ(Given.pass().size(), 3u);
 }
 
-// The scheduler before may still start what was accepted since, where nobody has heard of this one;
-// work in another pool must leave room for it.
+// The previous scheduler may still start new jobs on a worker that does not know of the takeover;
+// starts in another pool must leave quota for them.
 TEST(Organisations, TasksThatThePredecessorMayStillStartCountInEveryPool) {
   Scene Given(2, 4000);
   WorkerInfo Elsewhere = workerOf("x0");
   Elsewhere.Service = "other";
-  workerMayHoldRuns(Given.Cell, Elsewhere, Given.Now + 5s); // asked, and has not answered yet
+  workerMayHoldRuns(Given.Cell, Elsewhere, Given.Now + 5s); // its first call is outstanding
   Given.load();
   Given.reportAllExcept("x0");
   Given.submit("north", 3, 1000, false, true, "other");
@@ -208,7 +210,7 @@
   EXPECT_EQ(Given.pass().size(), 1u);
 }
 
-// A run that the task does not need is there until its end is heard.
+// A duplicate run uses quota until its end is reported.
 TEST(Organisations, ADuplicateRunCountsUntilItHasEnded) {
   Scene Given(2, 2000);
   const JobId Old = Given.submit("north", 1, 1000, false, false);
@@ -222,7 +224,7 @@
   EXPECT_EQ(Given.pass().size(), 0u);
 }
 
-// Its size is not known any more; it may be as large as its worker.
+// The size of such a run is not known any more; it may be as large as its worker.
 TEST(Organisations, ARunOfAnEndedJobCountsUntilItHasEnded) {
   Scene Given(2, 20000);
   Given.Cell.EndedJobs[77] = {JobPhase::Cancelled, 1, {}, "north"};
@@ -239,7 +241,7 @@
   EXPECT_EQ(Given.pass().size(), 6u);
 }
 
-// A backlog of hundreds of tasks can't all run on the one worker that is silent.
+// A backlog must not count as usage beyond the capacity of the one worker without a report.
 TEST(Organisations, UnreportedUsageIsBoundedByTheWorkersCapacity) {
   Scene Given(3, 30000);
   workerMayHoldRuns(Given.Cell, workerOf("w0"), Given.Now + 5s);
@@ -249,7 +251,7 @@
   Given.report("w1", {});
   Given.report("w2", {});
   Given.submit("north", 20, 1000);
-  EXPECT_EQ(Given.pass().size(), 14u) << "30 cores less the 16 of the worker";
+  EXPECT_EQ(Given.pass().size(), 14u) << "30 cores less the 16 of w0";
 }
 
 } // namespace
--- a/src/scheduler/placement_test.cpp
+++ b/src/scheduler/placement_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Where tasks go, what is kept free for urgent ones, and when others are stopped for them.
+// Placement decisions: the reserve for urgent tasks, preemption, advice and tickets, failing and
+// unresponsive workers, takeovers, leaving workers and saves.
 #include "replay/placement_scene.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 
 TEST(Placement, ReservesCapacityForATypicalUrgentTask) {
   PlacementScene Given(1);
-  // Urgent tasks of ten cores make the usual size.
+  // Urgent tasks of ten cores determine the typical size.
   for (int I = 0; I < 400; ++I) {
     Given.submit(0, tasks(1, 10000, 100ms), 100);
     for (const Effects::Start &Order : Given.pass().Starts) {
@@ -22,24 +23,24 @@
   }
   Given.submit(2, tasks(100, 1000, 10000ms), 100);
   const size_t Placed = Given.pass().Starts.size();
-  EXPECT_LE(Placed, 53u); // 64 cores less 1.3 times the usual ten, rounded
-  EXPECT_GE(Placed, 50u); // and not less than 78 % of them
+  EXPECT_LE(Placed, 53u); // 64 cores less 1.3 times the mean of ten, rounded
+  EXPECT_GE(Placed, 50u); // at least 78 % of them: MaxUrgentReserve
   Given.submit(0, tasks(1, 10000, 100ms), 100);
   EXPECT_EQ(Given.pass().Starts.size(), 1u);
 }
 
-// Room for urgent tasks is plenty in the cell, so that this worker need not keep any.
+// A reserve on every worker would delay other work although the cell has enough for urgent tasks.
 TEST(Placement, ReservesNothingWhileUrgentCapacityIsAmple) {
   PlacementScene Given(12);
   Given.submit(0, tasks(4, 10000, 100ms), 100);
   ASSERT_EQ(Given.pass().Starts.size(), 4u);
-  Given.submit(2, tasks(5, 10000, 1000ms), 100); // beside it they leave 4 of 64 cores
+  Given.submit(2, tasks(5, 10000, 1000ms), 100); // with the urgent task they leave 4 of 64 cores
   const Effects Out = Given.pass();
   ASSERT_EQ(Out.Starts.size(), 5u);
   std::set<std::string> Workers;
   for (const Effects::Start &Order : Out.Starts)
     Workers.insert(Order.Worker);
-  EXPECT_EQ(Workers.size(), 1u) << "packed, on one that holds an urgent task already";
+  EXPECT_EQ(Workers.size(), 1u) << "packed onto a worker with an urgent task";
 }
 
 TEST(Placement, TheReserveDoesNotBlockATaskThatFillsAWorker) {
@@ -61,7 +62,7 @@
   Given.Cell.Limits.StopTime = 900ms;
   Given.submit(2, tasks(5, 10000, 2000ms, true), 10);
   ASSERT_EQ(Given.pass().Starts.size(), 5u);
-  Given.submit(0, tasks(1, 20000, 600ms), 1.5); // 300 ms to spare
+  Given.submit(0, tasks(1, 20000, 600ms), 1.5); // 300 ms of slack
   EXPECT_TRUE(Given.pass().Stops.empty());
 }
 
@@ -82,15 +83,15 @@
   EXPECT_EQ(Given.pass().Stops.size(), 1u);
 }
 
-// A lasting task that lost its place serves again from when it is at work, whenever its job came.
-TEST(Placement, ALastingTaskIsNeverLate) {
+// A long-running task has no end that could miss the objective, so it may preempt at any time.
+TEST(Placement, ALongRunningTaskIsNeverLate) {
   PlacementScene Given(1);
-  StepSpec Lasting = tasks(1, 20000, 1000ms);
-  Lasting.LongRunning = true;
+  StepSpec Spec = tasks(1, 20000, 1000ms);
+  Spec.LongRunning = true;
   Given.submit(2, tasks(5, 10000, 2000ms, true), 1000);
   ASSERT_EQ(Given.pass().Starts.size(), 5u);
-  Given.submit(1, Lasting, 1);
-  Given.Now += 10s; // its job's objective is long over
+  Given.submit(1, Spec, 1);
+  Given.Now += 10s; // its job's objective has passed
   EXPECT_EQ(Given.pass().Stops.size(), 1u);
 }
 
@@ -101,7 +102,7 @@
   Effects Out;
   const StepKey Step{Job, 0, 0};
   workerEnded(Given.Cell, "w0", Given.Now, Out);
-  Given.addWorker("w2"); // its slot is a new one
+  Given.addWorker("w2"); // in a new slot
   adviceAnswered(Given.Cell, Step, {"w0", "w1"}, {{"w0", "t0"}}, 1500ms, Given.Now);
   const Effects After = Given.pass();
   EXPECT_TRUE(After.Starts.empty());
@@ -109,7 +110,7 @@
   EXPECT_EQ(After.AdviceRequests.front().Workers, std::vector<std::string>{"w2"});
 }
 
-// A full worker, and steps that wait for it with tickets of two seconds.
+// A full worker and two steps that wait for it with tickets valid for two seconds.
 struct FullWorker : PlacementScene {
   FullWorker() : PlacementScene(1) {
     submit(0, tasks(1, WorkerSize.MilliCores, 100s), 100);
@@ -125,29 +126,29 @@
 TEST(Tickets, AreRenewedWhileAStepWaitsForCapacity) {
   FullWorker Given;
   Given.Cell.AdviceConcurrency = 3;
-  EXPECT_TRUE(Given.pass().AdviceRequests.empty()) << "they are fresh";
+  EXPECT_TRUE(Given.pass().AdviceRequests.empty()) << "the tickets are still valid";
   Given.Now += 1300ms;
   const Effects Out = Given.pass();
-  ASSERT_EQ(Out.AdviceRequests.size(), 1u) << "a third of the lanes";
+  ASSERT_EQ(Out.AdviceRequests.size(), 1u) << "renewals use a third of the concurrency";
   EXPECT_EQ(Out.AdviceRequests.front().Workers, std::vector<std::string>{"w0"});
-  EXPECT_TRUE(Given.pass().AdviceRequests.empty()) << "it is under way";
+  EXPECT_TRUE(Given.pass().AdviceRequests.empty()) << "the renewal is outstanding";
   adviceAnswered(Given.Cell, Out.AdviceRequests.front().Step, {"w0"}, {{"w0", "new"}}, 2s,
                  Given.Now);
-  EXPECT_EQ(Given.pass().AdviceRequests.size(), 1u) << "the other step's turn";
+  EXPECT_EQ(Given.pass().AdviceRequests.size(), 1u) << "then the other step's";
 }
 
-// The room is left to others until a ticket can be asked for.
+// Capacity planned without a ticket must not stay unused while no ticket can be requested.
 TEST(Tickets, NoCapacityIsHeldWhileNoneCanBeRequested) {
   PlacementScene Given(1);
   Given.Cell.AdviceConcurrency = 1;
   const StepKey Step{Given.submit(1, tasks(4, 10000, 1s, true), 100, true), 0, 0};
   ASSERT_EQ(Given.pass().AdviceRequests.size(), 1u);
   adviceAnswered(Given.Cell, Step, {"w0"}, {{"w0", "old"}}, 200ms, Given.Now);
-  Given.Now += 1s; // the ticket is over, and all lanes are taken by others
+  Given.Now += 1s; // the ticket has expired, and other requests use all the concurrency
   Given.Cell.OutstandingAdviceRequests = 5;
   EXPECT_TRUE(Given.pass().AdviceRequests.empty());
   Given.submit(2, tasks(5, 10000, 1s), 100);
-  Given.Now += 40ms; // the next look at what waits
+  Given.Now += 40ms; // the next full scan
   EXPECT_EQ(Given.pass().Starts.size(), 5u);
 }
 
@@ -158,7 +159,8 @@
   EXPECT_TRUE(Given.pass().AdviceRequests.empty());
 }
 
-// What a question is likely to take is left to it by the next one, until it is answered.
+// A request claims what its step is expected to use until it is answered; the next one must not
+// name the same workers.
 TEST(Advice, ConcurrentRequestsNameDifferentWorkers) {
   PlacementScene Given(60);
   Given.Cell.AdviceConcurrency = 30;
@@ -178,7 +180,7 @@
     EXPECT_EQ(Given.Cell.Workers.at(Id).Claimed, Resources{});
 }
 
-// It learns on which workers it may use the room that it waits for.
+// A gang collects permits while it waits for capacity; single tasks do not.
 TEST(Advice, AGangRequestsAdviceInAFullCell) {
   PlacementScene Given(20);
   Given.Cell.AdviceConcurrency = 4;
@@ -186,7 +188,7 @@
   Given.submit(0, tasks(20, WorkerSize.MilliCores, 100s), 100);
   Given.pass();
   Given.submit(2, tasks(20, 10000, 1s), 100, true);
-  EXPECT_TRUE(Given.pass().AdviceRequests.empty()) << "nothing could start";
+  EXPECT_TRUE(Given.pass().AdviceRequests.empty()) << "no task could start";
   StepSpec Gang = tasks(4, 10000, 1s);
   Gang.Gang = true;
   Given.submit(1, Gang, 100, true);
@@ -203,7 +205,7 @@
   EXPECT_EQ(Out.AdviceRequests.front().Workers.size(), 20u);
 }
 
-// Ends a run on the worker that holds it.
+// Reports the end of a run from its worker.
 void endRun(PlacementScene &Given, const Effects::Start &Order, RunOutcome How) {
   Worker &W = Given.Cell.Workers.at(Order.Worker);
   WorkerReport Report;
@@ -226,7 +228,7 @@
   Given.submit(0, tasks(4, 1000, 100ms), 100);
   const auto Starts = Given.pass().Starts;
   ASSERT_EQ(Starts.size(), 4u);
-  Given.Now += 50ms; // they fail in the middle of their work
+  Given.Now += 50ms; // later than an immediate failure
   endRun(Given, Starts[0], RunOutcome::Failed);
   endRun(Given, Starts[1], RunOutcome::Failed);
   Given.submit(0, tasks(1, 1000, 100ms), 100);
@@ -236,7 +238,7 @@
   EXPECT_TRUE(Given.pass().Starts.empty());
 }
 
-// Its worker was silent until its lease was over, and lists the end when it can be reached again.
+// The worker is silent until its lease has expired and reports the end when it is reachable again.
 TEST(UnresponsiveWorkers, ATaskThatMayBeDoneIsNotRestartedAtOnce) {
   PlacementScene Given(2);
   Given.submit(0, tasks(1, 1000, 2000ms), 100);
@@ -302,7 +304,7 @@
   }
 }
 
-// A task that fails everywhere says nothing of the workers it fails on.
+// A task that fails on every worker must not take them all out of use.
 TEST(FailingWorkers, ATaskThatFailsEverywhereQuarantinesOneWorkerOnly) {
   PlacementScene Given(2);
   Given.submit(0, tasks(1, 1000, 1000ms), 100);
@@ -336,7 +338,7 @@
   EXPECT_EQ(Report(), 0u);
   Given.Now += 1500ms;
   EXPECT_EQ(Report(), 0u);
-  // No report for a while is no proof.
+  // Missing reports do not count as a lack of progress.
   Given.Now += 3000ms;
   Effects Out;
   tick(Given.Cell, Given.Now, WallTime(1000s), Out);
@@ -360,7 +362,7 @@
   EXPECT_EQ(EndOn(Starts[0]), 0u);
   EXPECT_EQ(Given.Cell.Workers.at(Starts[1].Worker).Attempts.size(), 1u); // still booked
   EXPECT_EQ(EndOn(Starts[1]), 0u);
-  // The third does not end with them.
+  // The third member does not end by itself.
   Given.Now += 2000ms;
   Effects Out;
   tick(Given.Cell, Given.Now, WallTime(1000s), Out);
@@ -368,7 +370,7 @@
   EXPECT_EQ(Out.Stops[0].Worker, Starts[2].Worker);
 }
 
-// Workers that are listed and not ready yet.
+// Adds workers that are listed and not in use yet.
 void listWorkers(PlacementScene &Given, int Count) {
   for (int I = 0; I < Count; ++I) {
     WorkerInfo Info;
@@ -424,7 +426,7 @@
   EXPECT_EQ(countWanted(Given), Given.Cell.Limits.SpareWorkers);
 }
 
-// The scheduler before is alive and does not know yet that it was replaced.
+// The previous scheduler may still start the job where no worker knows of the takeover yet.
 TEST(Takeover, ANewJobWaitsForTheReportsOfThePredecessorsWorkers) {
   PlacementScene Given(1);
   WorkerInfo Used;
@@ -434,7 +436,7 @@
   workerMayHoldRuns(Given.Cell, Used, Given.Now + 6s);
   Given.submit(0, tasks(1, 1000, 100ms), 100);
   EXPECT_TRUE(Given.pass().Starts.empty());
-  workerSilent(Given.Cell, "used"); // it was asked in vain
+  workerSilent(Given.Cell, "used"); // its first call has failed
   EXPECT_EQ(Given.pass().Starts.size(), 1u);
 }
 
@@ -446,12 +448,12 @@
   return Info;
 }
 
-// The scheduler before started a job that was accepted after the takeover, and this one sees the
-// run before it hears of the job.
+// The previous scheduler started a job that was accepted after the takeover, and a worker reports
+// the run before this scheduler reads the job.
 TEST(Takeover, ATaskWaitsUntilItsOrphanedRunHasEnded) {
   PlacementScene Given(2);
   Effects Out;
-  const RunKey Early{{{1, 0, 0}, 0}, 7}; // of the next job
+  const RunKey Early{{{1, 0, 0}, 0}, 7}; // of the job submitted below
   WorkerReport Report;
   Report.Active.push_back({Early, "", 10});
   workerReported(Given.Cell, "w0", Report, Given.Now, Given.Now, Out);
@@ -475,7 +477,7 @@
   return Spec;
 }
 
-// A silent worker holds back only what may run there.
+// An unresponsive worker delays only tasks that may run there.
 TEST(Takeover, AnOldJobWaitsForWorkersOfItsOwnServiceOnly) {
   PlacementScene Given(1);
   auto Spec = oldJob();
@@ -498,7 +500,7 @@
   EXPECT_EQ(Given.pass().Starts.size(), 1u);
 }
 
-// Advice on what may turn out to be running would be asked for in vain.
+// Advice on a task that turns out to be running would be requested for nothing.
 TEST(Takeover, RequestsNoAdviceOnAnOldJobBeforeTheWorkersReport) {
   PlacementScene Given(1);
   auto Spec = oldJob();
@@ -511,7 +513,7 @@
   EXPECT_EQ(Given.pass().AdviceRequests.size(), 1u);
 }
 
-// What has left and holds nothing is let go of at once, so that no later scheduler waits for it.
+// Otherwise a later scheduler would wait for the lease of a worker that holds nothing.
 TEST(Fleet, AnIdleUnlistedWorkerIsRemoved) {
   PlacementScene Given(2);
   Given.submit(0, tasks(1, 1000, 100ms), 100);
@@ -525,13 +527,13 @@
   EXPECT_EQ(Given.Cell.Workers.count(Starts.front().Worker), 1u); // its run may still be there
 }
 
-// Two workers, one of which leaves in two seconds, and a step on it.
+// Two workers. The one that runs the step leaves in two seconds.
 struct LeavingWorker : PlacementScene {
   explicit LeavingWorker(StepSpec Step) : PlacementScene(1) {
     submit(1, std::move(Step), 1000);
     pass();
     addWorker("w1");
-    Now += 200ms; // until it is looked for again
+    Now += 200ms; // until the next scan of leaving workers
     WorkerInfo Leaving = workerOf("w0", "pool");
     Leaving.Draining = true;
     Leaving.DrainTimeLeft = 2s;
@@ -539,10 +541,10 @@
   }
 };
 
-TEST(Leaving, ALastingTaskIsMoved) {
-  StepSpec Lasting = tasks(1, 20000, 500ms);
-  Lasting.LongRunning = true;
-  LeavingWorker Given(Lasting);
+TEST(Leaving, ALongRunningTaskIsMoved) {
+  StepSpec Spec = tasks(1, 20000, 500ms);
+  Spec.LongRunning = true;
+  LeavingWorker Given(Spec);
   const auto Stops = Given.pass().Stops;
   ASSERT_EQ(Stops.size(), 1u);
   EXPECT_EQ(Stops.front().Worker, "w0");
@@ -554,12 +556,12 @@
   EXPECT_TRUE(LeavingWorker(tasks(1, 20000, 5s, false)).pass().Stops.empty());
 }
 
-// Nothing is known of advice for a step that an earlier scheduler started.
+// A step that an earlier scheduler started has no advice yet.
 TEST(Leaving, AdviceIsRequestedForAnAdoptedRun) {
   PlacementScene Given(1);
-  StepSpec Lasting = tasks(1, 20000, 500ms);
-  Lasting.LongRunning = true;
-  const StepKey Step{Given.submit(1, Lasting, 1000, true), 0, 0};
+  StepSpec Spec = tasks(1, 20000, 500ms);
+  Spec.LongRunning = true;
+  const StepKey Step{Given.submit(1, Spec, 1000, true), 0, 0};
   Effects Out;
   WorkerReport Report;
   Report.Active.push_back({{{Step, 0}, 7}, "", 100});
@@ -578,13 +580,13 @@
 
 TEST(Leaving, AnUnlistedWorkerIsTreatedAsLeaving) {
   PlacementScene Given(1);
-  StepSpec Lasting = tasks(1, 20000, 500ms);
-  Lasting.LongRunning = true;
-  Given.submit(1, Lasting, 1000);
+  StepSpec Spec = tasks(1, 20000, 500ms);
+  Spec.LongRunning = true;
+  Given.submit(1, Spec, 1000);
   ASSERT_EQ(Given.pass().Starts.size(), 1u);
   Given.addWorker("w1");
   workerUnlisted(Given.Cell, "w0", Given.Now);
-  Given.Now += 2s; // the store may have been away
+  Given.Now += 2s; // its entry may have expired in a store outage
   EXPECT_TRUE(Given.pass().Stops.empty());
   Given.Now += 1s;
   EXPECT_EQ(Given.pass().Stops.size(), 1u);
@@ -598,12 +600,12 @@
   EXPECT_TRUE(Given.pass().Stops.empty());
 }
 
-TEST(Leaving, NoMoreTasksAreMovedThanTheStepMayMiss) {
-  StepSpec Lasting = tasks(3, 10000, 500ms);
-  Lasting.LongRunning = true;
-  Lasting.MaxUnavailable = 1;
-  LeavingWorker Given(Lasting);
-  EXPECT_TRUE(Given.pass().Stops.empty()) << "none is at work yet";
+TEST(Leaving, NoMoreTasksAreMovedThanMaxUnavailable) {
+  StepSpec Spec = tasks(3, 10000, 500ms);
+  Spec.LongRunning = true;
+  Spec.MaxUnavailable = 1;
+  LeavingWorker Given(Spec);
+  EXPECT_TRUE(Given.pass().Stops.empty()) << "no task serves yet";
   for (auto &[Run, A] : Given.Cell.Workers.at("w0").Attempts)
     A.Percent = 100;
   Given.Now += 1s;
@@ -615,7 +617,7 @@
 TEST(Cancels, ACancellationBeforeItsJobTakesEffect) {
   PlacementScene Given(1);
   Effects Out;
-  cancelJob(Given.Cell, 1, Given.Now, Out); // the id of the next job
+  cancelJob(Given.Cell, 1, Given.Now, Out); // the id of the job submitted below
   const JobId Job = Given.submit(0, tasks(1, 1000, 100ms), 100);
   ASSERT_EQ(Job, 1u);
   applyPendingCancel(Given.Cell, Job, Given.Now, Out);
@@ -640,7 +642,7 @@
       Ended.Ended.push_back({Ended.Ended.size() + 1, Order.Run, RunOutcome::Done, ""});
   workerReported(Given.Cell, "w0", Ended, Given.Now, Given.Now, Out);
   const Worker &W = Given.Cell.Workers.at("w0");
-  // The save of the first job is out when that of the second is done.
+  // The second job's save is durable before the first one's.
   const uint64_t Number = Given.Cell.Jobs.at(Second).PendingSave;
   EXPECT_TRUE(jobSaved(Given.Cell, Second, Number, 7, 0, WallTime(1000s)).empty());
   EXPECT_EQ(W.ForgetThrough, 1u);
@@ -650,7 +652,8 @@
   EXPECT_EQ(W.ForgetThrough, 3u);
 }
 
-// Its entry is not the word of a worker of ours: nothing is said to what may be at its address.
+// The entry of an unconfigured service may belong to another system; its address must not be
+// called.
 TEST(Fleet, AWorkerOfAnUnconfiguredServiceIsNotCalled) {
   PlacementScene Given(0);
   CellConfiguration Config;
--- a/src/scheduler/scheduler_bench.cpp
+++ b/src/scheduler/scheduler_bench.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// One pass of placement and one tick of a full cell, and how they grow with the workers and with
-// what waits. The mix of work is that of the users' large deployments.
+// Benchmarks of one placement pass and one tick of a full cell, by the number of workers and of
+// waiting steps.
 #include "valveshelf/cell_state.h"
 
 #include <benchmark/benchmark.h>
@@ -11,7 +11,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-// A cell whose workers are full, with jobs of each kind that wait.
+// A cell whose workers are full, with waiting jobs of each kind.
 class FullCell {
 public:
   explicit FullCell(int Workers) {
@@ -26,7 +26,7 @@
     }
   }
 
-  // Hands jobs in, answers what is asked and confirms what is started until as many steps wait.
+  // Submits jobs, answers advice requests and confirms starts until \p Waiting steps wait.
   void fill(size_t Waiting) {
     for (int I = 0; Cell.Queue.size() < Waiting && I < 100000; ++I) {
       submit(I % 20 == 0 ? 0 : I % 20 < 4 ? 1 : 2);
@@ -62,7 +62,7 @@
     workerListed(Cell, Info, Now);
   }
 
-  // Kinds: 0 a gang, 1 many tasks that save their progress, 2 a quick check.
+  // Kinds: 0 a gang, 1 many checkpointing tasks, 2 a short urgent step.
   void submit(int Kind) {
     auto Spec = std::make_shared<JobSpec>();
     Spec->Id = ++LastJob;
@@ -96,7 +96,6 @@
   JobId LastJob = 0;
 };
 
-// Between two passes on a busy box.
 constexpr auto PassInterval = 10ms;
 
 void placePass(benchmark::State &State) {
