--- a/src/config/config_keeper.cpp
+++ b/src/config/config_keeper.cpp
@@ -76,7 +76,7 @@
   Result<uint64_t> Put = co_await Store.Put(std::string(ConfigKey), Text, value(Stored).Version, 0);
   if (!ok(Put))
     co_return error(Put);
-  Watch.note({std::string(ConfigKey), Text, value(Put)});
+  Watch.applyLocalWrite({std::string(ConfigKey), Text, value(Put)});
   applyIfNewer(Text, "");
   co_return Next.Version;
 }
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -183,7 +183,7 @@
     // A frozen or cut-off process still has its listener; only one that is gone refuses.
     const PeerOps::ProbeResult Heard = co_await Peers.Probe(Peer.Peers);
     if (Heard == PeerOps::ProbeResult::Refused && !Peer.Log.empty())
-      Watch.noteGone(Peer.Log);
+      Watch.markGone(Peer.Log);
     co_return;
   }
   wire::ExchangeRequest Heard;
--- a/src/entry/shard_runner.cpp
+++ b/src/entry/shard_runner.cpp
@@ -248,7 +248,7 @@
   }
   Durability Told = Durability::Lost;
   if (!Due.empty())
-    Told = co_await This->Tools.Log.softBarrier();
+    Told = co_await This->Tools.Log.witnessedBarrier();
   if (Told != Durability::Lost) {
     for (auto &[Home, Request] : Due) {
       const Endpoint To = This->ownerOf(Home);
--- a/src/include/valveshelf/authority.h
+++ b/src/include/valveshelf/authority.h
@@ -34,45 +34,45 @@
 /// True if all recorded guardians' promises run; false for an empty set.
 bool promisesHold(const Authority &Value, TimePoint Now);
 
-/// A renewal that was sent at \p SentAt succeeded for \p Life.
-void onLeaseRenewed(Authority &Value, TimePoint SentAt, Milliseconds Life, Milliseconds Margin);
+/// A renewal that was sent at \p SentAt succeeded for \p Ttl.
+void onLeaseRenewed(Authority &Value, TimePoint SentAt, Milliseconds Ttl, Milliseconds Margin);
 /// The store says that the lease has lapsed.
 void onLeaseLost(Authority &Value);
-/// A guardian's promise, asked for at \p SentAt, holds for \p Life.
-void onPromise(Authority &Value, const std::string &Guardian, TimePoint SentAt, Milliseconds Life,
+/// A guardian's promise, asked for at \p SentAt, holds for \p Ttl.
+void onPromise(Authority &Value, const std::string &Guardian, TimePoint SentAt, Milliseconds Ttl,
                Milliseconds Margin);
 
 /// The guardian's side: what it promised to whom.
-struct GuardianBook {
-  struct Ward {
+struct GuardianState {
+  struct Owner {
     TimePoint PromisedUntil{};
     TimePoint LastRenewal{};
-    bool Refused = false;    ///< Never unset: refusing is final for that incarnation.
-    bool WardCutOff = false; ///< The ward says it has not reached the store for a while.
+    bool Refused = false;     ///< Never unset: refusing is final for that incarnation.
+    bool OwnerCutOff = false; ///< The ward says it has not reached the store for a while.
   };
-  std::map<std::string, Ward> Wards; ///< By the ward's incarnation.
+  std::map<std::string, Owner> Owners; ///< By the ward's incarnation.
 };
 
-/// Promises not to help anyone claim \p Ward's shards until the time returned; the zero time if
+/// Promises not to help anyone claim \p Owner's shards until the time returned; the zero time if
 /// it refuses.
-TimePoint promise(GuardianBook &Book, const std::string &Ward, bool WardCutOff, TimePoint Now,
-                  Milliseconds Life);
+TimePoint promise(GuardianState &State, const std::string &Owner, bool OwnerCutOff, TimePoint Now,
+                  Milliseconds Ttl);
 
 /// What a guardian answers a claimant.
 struct Refusal {
-  bool Agreed = false;  ///< It will give \p Ward no further promise.
+  bool Agreed = false;  ///< It will give \p Owner no further promise.
   Milliseconds Wait{0}; ///< How long the last promise may still run.
 };
 
-/// Asks the guardian to refuse \p Ward from now on. It agrees only if the ward fell silent for
+/// Asks the guardian to refuse \p Owner from now on. It agrees only if the ward fell silent for
 /// \p Silence or is cut off from a store that \p StoreUp here.
-Refusal refuse(GuardianBook &Book, const std::string &Ward, bool StoreUp, Milliseconds Silence,
+Refusal refuse(GuardianState &State, const std::string &Owner, bool StoreUp, Milliseconds Silence,
                TimePoint Now);
 
-/// Chooses up to \p Most guardians for \p Self among \p Peers (incarnation to zone), other zones
-/// first, stable while the peers live.
+/// Chooses up to \p MaxCount guardians for \p Self among \p Peers (incarnation to zone), other
+/// zones first, stable while the peers live.
 std::vector<std::string> chooseGuardians(const std::string &Self, const std::string &Zone,
                                          const std::map<std::string, std::string> &Peers,
-                                         size_t Most);
+                                         size_t MaxCount);
 
 } // namespace valveshelf
--- a/src/include/valveshelf/fence.h
+++ b/src/include/valveshelf/fence.h
@@ -15,7 +15,7 @@
   PeerOps Peers;
   std::string Claimant; ///< Its own journal.
   Endpoint Address;     ///< Where it answers as a guardian itself.
-  std::function<wire::RefuseReply(const wire::RefuseRequest &)> RefuseHere;
+  std::function<wire::RefuseReply(const wire::RefuseRequest &)> RefuseLocally;
   /// True if the process of a journal is proven gone: nothing listens at its address any more.
   /// It had neither to lapse nor to be refused then.
   std::function<bool(const std::string &LogId)> ProvenGone = [](const std::string &) {
--- a/src/include/valveshelf/journal.h
+++ b/src/include/valveshelf/journal.h
@@ -73,7 +73,7 @@
   /// Waits until everything appended before is Stored or Lost.
   Awaitable<Durability> barrier();
   /// As `barrier`, but Witnessed is enough.
-  Awaitable<Durability> softBarrier();
+  Awaitable<Durability> witnessedBarrier();
   /// Records a new set of guardians.
   void setGuardians(std::vector<wire::Guardian> Guardians, DurableCallback WhenDurable);
   /// The records appended between the two calls rebuild all owned shards.
@@ -95,7 +95,7 @@
   uint64_t storedRecords() const;
   uint64_t writes() const;
   /// Another part of the process found that the store answers, or not.
-  void noteStore(bool Answers);
+  void reportStoreStatus(bool Answers);
 
 private:
   struct Pending {
@@ -120,12 +120,13 @@
   bool mergeNext(Unstored &Front);
   void prepareFront();
   Awaitable<bool> writeFront();
-  Awaitable<bool> resolve(const std::string &Key, const wire::JournalEntry &Entry, uint64_t Expect);
+  Awaitable<bool> resolveUnknownOutcome(const std::string &Key, const wire::JournalEntry &Entry,
+                                        uint64_t Expect);
   Awaitable<void> witnessAll();
   void onStored(uint64_t Version);
   void onFenced();
   bool isMine(const wire::JournalEntry &Found, const wire::JournalEntry &Entry) const;
-  void call(std::vector<DurableCallback> Callbacks, Durability Value);
+  void invokeCallbacks(std::vector<DurableCallback> Callbacks, Durability Value);
   std::string slotKey(uint64_t Sequence) const;
 
   const Executor Where;
@@ -140,11 +141,11 @@
   mutable std::mutex Mutex;
   // All below is guarded by Mutex.
   std::deque<Pending> Queue;
-  std::deque<Unstored> Written;       ///< Built entries, oldest first. Only the first is ever
-                                      ///< sent to the store; it gets its sequence then.
-  std::vector<uint64_t> SlotVersions; ///< Version last written, by slot; 0: never.
-  uint64_t NextRecord = 0;            ///< Number of the next record to be put in an entry.
-  uint64_t StoredBelow = 0;           ///< Sequence of the next entry to be stored.
+  std::deque<Unstored> UnstoredEntries; ///< Built entries, oldest first. Only the first is ever
+                                        ///< sent to the store; it gets its sequence then.
+  std::vector<uint64_t> SlotVersions;   ///< Version last written, by slot; 0: never.
+  uint64_t NextRecord = 0;              ///< Number of the next record to be put in an entry.
+  uint64_t StoredBelow = 0;             ///< Sequence of the next entry to be stored.
   uint64_t StoredRecordsBelow = 0;
   uint64_t SnapshotStart = 0; ///< First entry of the newest complete snapshot.
   uint64_t OpenSnapshotStart = 0;
--- a/src/include/valveshelf/membership.h
+++ b/src/include/valveshelf/membership.h
@@ -37,7 +37,7 @@
   Endpoint Peers;
   uint64_t Epoch = 0;    ///< Grows by one with every change of owner.
   bool Released = false; ///< The state is in `handover/<shard>`; nobody owns the shard.
-  std::string Heir;      ///< Whom a released shard is meant for.
+  std::string Successor; ///< Whom a released shard is meant for.
   uint64_t Version = 0;  ///< Of the store's value.
 };
 
@@ -82,27 +82,27 @@
   void onChange(std::function<void()> Changed);
   /// Nothing listens at the address of incarnation \p Log any more, so its process is gone. It is
   /// left out of the view from now on; incarnations never come back.
-  void noteGone(const std::string &Log);
+  void markGone(const std::string &Log);
   bool provenGone(const std::string &Log) const;
   /// Takes in what this process itself wrote, without waiting for the watch.
-  void note(const StoreItem &Item);
+  void applyLocalWrite(const StoreItem &Item);
 
 private:
-  void apply(const StoreItems &Items, bool Whole);
+  void apply(const StoreItems &Items, bool FullListing);
 
   const StoreOps Store;
   const Clock Time;
   std::function<void()> Changed;
   mutable std::mutex Mutex;
-  CellViewPtr Current;        ///< Guarded by Mutex; what it points to never changes.
-  std::set<std::string> Gone; ///< Incarnations proven gone. Guarded by Mutex.
+  CellViewPtr Current;                    ///< Guarded by Mutex; what it points to never changes.
+  std::set<std::string> GoneIncarnations; ///< Incarnations proven gone. Guarded by Mutex.
 };
 
 /// The authority and the promises given, under one lock.
 struct SharedAuthority {
   std::mutex Mutex;
   Authority Own;                                                    ///< Guarded by Mutex.
-  GuardianBook Given;                                               ///< Guarded by Mutex.
+  GuardianState GivenPromises;                                      ///< Guarded by Mutex.
   std::map<std::string, std::vector<wire::JournalEntry>> Witnessed; ///< By ward. Guarded by Mutex.
 
   bool mayActAt(TimePoint Now) {
@@ -126,7 +126,7 @@
   Awaitable<void> leave();
   void stop();
   /// The life of a lease in a cell of that many members.
-  Milliseconds leaseLife(size_t Members) const;
+  Milliseconds leaseTtl(size_t Members) const;
 
 private:
   Awaitable<Result<Done>> acquire();
@@ -171,11 +171,11 @@
   SharedAuthority &Shared;
   CellWatch &Watch;
   Journal *Log = nullptr;
-  const TimePoint Born;
+  const TimePoint StartedAt;
   std::mutex Mutex;
-  std::map<std::string, Endpoint> Addresses; ///< Of all recorded guardians. Guarded by Mutex.
-  std::vector<std::string> Recorded;         ///< The set last durable. Guarded by Mutex.
-  bool Changing = false;                     ///< Guarded by Mutex.
+  std::map<std::string, Endpoint> Addresses;  ///< Of all recorded guardians. Guarded by Mutex.
+  std::vector<std::string> RecordedGuardians; ///< The set last durable. Guarded by Mutex.
+  bool GuardianUpdatePending = false;         ///< Guarded by Mutex.
   std::atomic<bool> Stopped{false};
 };
 
--- a/src/include/valveshelf/ownership.h
+++ b/src/include/valveshelf/ownership.h
@@ -42,13 +42,13 @@
 private:
   Awaitable<void> reconcile();
   Awaitable<void> claim(uint32_t Shard, OwnerRecord Old);
-  Awaitable<void> claimFresh(uint32_t Shard);
+  Awaitable<void> claimUnowned(uint32_t Shard);
   Awaitable<void> claimReleased(uint32_t Shard, OwnerRecord Old);
   Awaitable<bool> fence(std::string LogId);
   Awaitable<void> takeOver(OwnerRecord Old, std::vector<wire::Record> Records,
                            bool PredecessorGone);
   Awaitable<Result<uint64_t>> writeOwner(OwnerRecord Record, uint64_t Expect);
-  Awaitable<bool> release(std::shared_ptr<ShardRunner> Runner, std::string Heir);
+  Awaitable<bool> release(std::shared_ptr<ShardRunner> Runner, std::string Successor);
   Awaitable<void> snapshot();
   Awaitable<void> collectGarbage();
   bool isMine(const OwnerRecord &Record) const;
--- a/src/membership/cell_watch.cpp
+++ b/src/membership/cell_watch.cpp
@@ -64,29 +64,29 @@
 
 void CellWatch::onChange(std::function<void()> Function) { Changed = std::move(Function); }
 
-void CellWatch::apply(const StoreItems &Items, bool Whole) {
+void CellWatch::apply(const StoreItems &Items, bool FullListing) {
   {
     std::lock_guard Lock(Mutex);
     auto Next = std::make_shared<CellView>(*Current);
-    if (Whole) {
+    if (FullListing) {
       Next->Members.clear();
       Next->Owners.clear();
     }
     for (const StoreItem &Item : Items.Items)
       applyItem(*Next, Item);
-    for (const std::string &Log : Gone)
+    for (const std::string &Log : GoneIncarnations)
       Next->Members.erase(Log);
     Next->Revision = std::max(Next->Revision, Items.Revision);
     Current = std::move(Next);
   }
-  if (Changed && (Whole || !Items.Items.empty()))
+  if (Changed && (FullListing || !Items.Items.empty()))
     Changed();
 }
 
-void CellWatch::noteGone(const std::string &Log) {
+void CellWatch::markGone(const std::string &Log) {
   {
     std::lock_guard Lock(Mutex);
-    if (!Current->Members.count(Log) || !Gone.insert(Log).second)
+    if (!Current->Members.count(Log) || !GoneIncarnations.insert(Log).second)
       return;
   }
   apply({}, false);
@@ -96,10 +96,10 @@
 
 bool CellWatch::provenGone(const std::string &Log) const {
   std::lock_guard Lock(Mutex);
-  return Gone.count(Log) > 0;
+  return GoneIncarnations.count(Log) > 0;
 }
 
-void CellWatch::note(const StoreItem &Item) { apply({0, {Item}}, false); }
+void CellWatch::applyLocalWrite(const StoreItem &Item) { apply({0, {Item}}, false); }
 
 Awaitable<Result<Done>> CellWatch::load() {
   Result<StoreItems> Listed = co_await Store.List("cell/");
@@ -112,13 +112,13 @@
 Awaitable<void> CellWatch::run() {
   while (true) {
     const uint64_t After = view()->Revision;
-    Result<StoreItems> News = co_await Store.Watch("cell/", After, WatchWait);
-    if (ok(News)) {
+    Result<StoreItems> Changes = co_await Store.Watch("cell/", After, WatchWait);
+    if (ok(Changes)) {
       // A store that restarted counts anew, or has forgotten what came between.
-      if (value(News).Revision < After)
+      if (value(Changes).Revision < After)
         co_await load();
       else
-        apply(value(News), false);
+        apply(value(Changes), false);
       continue;
     }
     co_await sleepFor(RetryPause);
--- a/src/membership/lease_keeper.cpp
+++ b/src/membership/lease_keeper.cpp
@@ -12,7 +12,7 @@
 constexpr Milliseconds RetryPause{200};
 // Part of the store's writes that all renewals together may take.
 constexpr double RenewalShare = 0.25;
-constexpr int RenewalsPerLife = 3;
+constexpr int RenewalsPerTtl = 3;
 } // namespace
 
 LeaseKeeper::LeaseKeeper(StoreOps Store, Clock Time, valveshelf::Timing Times,
@@ -22,9 +22,9 @@
       WritesPerSecond(WritesPerSecond), Self(std::move(Self)), Shared(Shared), Log(Log),
       Watch(Watch) {}
 
-Milliseconds LeaseKeeper::leaseLife(size_t Members) const {
+Milliseconds LeaseKeeper::leaseTtl(size_t Members) const {
   const double Seconds =
-      static_cast<double>(Members * RenewalsPerLife) / (RenewalShare * WritesPerSecond);
+      static_cast<double>(Members * RenewalsPerTtl) / (RenewalShare * WritesPerSecond);
   const Milliseconds Needed(static_cast<int64_t>(Seconds * 1000));
   return std::max(Times.Lease, Needed);
 }
@@ -41,9 +41,9 @@
 }
 
 Awaitable<Result<Done>> LeaseKeeper::acquire() {
-  const Milliseconds Life = leaseLife(Watch.view()->Members.size() + 1);
-  const TimePoint Asked = Time.Now();
-  Result<uint64_t> Granted = co_await Store.GrantLease(Life);
+  const Milliseconds Ttl = leaseTtl(Watch.view()->Members.size() + 1);
+  const TimePoint SentAt = Time.Now();
+  Result<uint64_t> Granted = co_await Store.GrantLease(Ttl);
   if (!ok(Granted))
     co_return error(Granted);
   Lease = value(Granted);
@@ -61,14 +61,14 @@
   if (!ok(Put))
     co_return error(Put);
   RecordVersion = value(Put);
-  Watch.note({memberKey(Self.Name), encodeMember(Self), RecordVersion});
+  Watch.applyLocalWrite({memberKey(Self.Name), encodeMember(Self), RecordVersion});
   // A claimant may have read the journal while the lease was away. Its seal fails once this
   // entry is there; only then does the new lease carry authority.
   const Durability Resumed = co_await Log.barrier();
   if (Resumed != Durability::Stored)
     co_return Error{ErrorKind::NotOwner, "the journal is sealed"};
   std::lock_guard Lock(Shared.Mutex);
-  onLeaseRenewed(Shared.Own, Asked, Life, Times.Margin);
+  onLeaseRenewed(Shared.Own, SentAt, Ttl, Times.Margin);
   co_return Done{};
 }
 
@@ -89,15 +89,15 @@
 
 Awaitable<void> LeaseKeeper::run() {
   while (!Stopped && !Log.fenced()) {
-    const Milliseconds Life = leaseLife(Watch.view()->Members.size());
-    const TimePoint Asked = Time.Now();
+    const Milliseconds Ttl = leaseTtl(Watch.view()->Members.size());
+    const TimePoint SentAt = Time.Now();
     Result<Done> Renewed = co_await Store.RenewLease(Lease);
     if (Stopped)
       co_return;
-    Log.noteStore(ok(Renewed) || error(Renewed).Kind == ErrorKind::NotFound);
+    Log.reportStoreStatus(ok(Renewed) || error(Renewed).Kind == ErrorKind::NotFound);
     if (ok(Renewed)) {
       std::lock_guard Lock(Shared.Mutex);
-      onLeaseRenewed(Shared.Own, Asked, Life, Times.Margin);
+      onLeaseRenewed(Shared.Own, SentAt, Ttl, Times.Margin);
     } else if (error(Renewed).Kind == ErrorKind::NotFound) {
       logEvent(events::LeaseLost, {{"log", Self.Log}});
       {
@@ -108,7 +108,7 @@
         logEvent(events::LeaseGranted, {{"log", Self.Log}});
     }
     const bool Failed = !ok(Renewed) && error(Renewed).Kind != ErrorKind::NotFound;
-    co_await sleepFor(Failed ? RetryPause : Life / RenewalsPerLife);
+    co_await sleepFor(Failed ? RetryPause : Ttl / RenewalsPerTtl);
   }
 }
 
@@ -118,7 +118,7 @@
   if (!ok(Put))
     co_return;
   RecordVersion = value(Put);
-  Watch.note({memberKey(Self.Name), encodeMember(Self), RecordVersion});
+  Watch.applyLocalWrite({memberKey(Self.Name), encodeMember(Self), RecordVersion});
 }
 
 Awaitable<void> LeaseKeeper::leave() {
--- a/src/membership/promise_keeper.cpp
+++ b/src/membership/promise_keeper.cpp
@@ -12,8 +12,8 @@
 namespace valveshelf {
 namespace asio = boost::asio;
 namespace {
-constexpr size_t MostGuardians = 3;
-constexpr size_t MostWitnessedEntries = 4096;
+constexpr size_t MaxGuardians = 3;
+constexpr size_t MaxWitnessedEntries = 4096;
 // A ward that has not reached the store for so long asks to be relieved of its shards.
 constexpr Milliseconds CutOffAfter{10000};
 } // namespace
@@ -21,7 +21,7 @@
 PromiseKeeper::PromiseKeeper(PeerOps Peers, Clock Time, valveshelf::Timing Times, MemberInfo Self,
                              SharedAuthority &Shared, CellWatch &Watch)
     : Peers(std::move(Peers)), Time(std::move(Time)), Times(Times), Self(std::move(Self)),
-      Shared(Shared), Watch(Watch), Born(this->Time.Now()) {}
+      Shared(Shared), Watch(Watch), StartedAt(this->Time.Now()) {}
 
 void PromiseKeeper::attach(Journal &Journal) { Log = &Journal; }
 void PromiseKeeper::stop() { Stopped = true; }
@@ -34,14 +34,13 @@
   for (const auto &[LogId, Member] : View->Members)
     if (!Member.Leaving)
       Zones[LogId] = Member.Zone;
-  const std::vector<std::string> Wanted =
-      chooseGuardians(Self.Log, Self.Zone, Zones, MostGuardians);
+  const std::vector<std::string> Wanted = chooseGuardians(Self.Log, Self.Zone, Zones, MaxGuardians);
   std::vector<wire::Guardian> Record;
   {
     std::lock_guard Lock(Mutex);
-    if (Changing || Wanted == Recorded || !Log->storeUp())
+    if (GuardianUpdatePending || Wanted == RecordedGuardians || !Log->storeUp())
       return;
-    Changing = true;
+    GuardianUpdatePending = true;
     for (const std::string &Name : Wanted) {
       Addresses[Name] = View->Members.at(Name).Peers;
       Record.emplace_back().set_incarnation(Name);
@@ -56,10 +55,10 @@
     if (Value == Durability::Witnessed)
       return;
     std::scoped_lock Lock(Mutex, Shared.Mutex);
-    Changing = false;
+    GuardianUpdatePending = false;
     if (Value == Durability::Lost)
       return;
-    Recorded = Wanted;
+    RecordedGuardians = Wanted;
     Shared.Own.Guardians = {Wanted.begin(), Wanted.end()};
     std::erase_if(Addresses, [&](const auto &Entry) {
       return std::find(Wanted.begin(), Wanted.end(), Entry.first) == Wanted.end();
@@ -120,7 +119,7 @@
 
 Awaitable<void> PromiseKeeper::run() {
   bool ByPromise = false;
-  bool Had = true;
+  bool HadAuthority = true;
   while (!Stopped && !Log->fenced()) {
     updateGuardians();
     std::vector<wire::JournalEntry> NoEntries;
@@ -134,10 +133,10 @@
     }
     if (!Lease && Promises && !ByPromise)
       logEvent(events::AuthorityByPromise, {{"log", Self.Log}});
-    if (!Lease && !Promises && Had)
+    if (!Lease && !Promises && HadAuthority)
       logEvent(events::AuthorityLost, {{"log", Self.Log}});
     ByPromise = !Lease && Promises;
-    Had = Lease || Promises;
+    HadAuthority = Lease || Promises;
     co_await sleepFor(Times.Promise / 3);
   }
 }
@@ -151,7 +150,7 @@
   std::lock_guard Lock(Shared.Mutex);
   const TimePoint Now = Time.Now();
   const TimePoint Until =
-      promise(Shared.Given, Request.log(), Request.cut_off(), Now, Times.Promise);
+      promise(Shared.GivenPromises, Request.log(), Request.cut_off(), Now, Times.Promise);
   if (Until == TimePoint{})
     return Reply;
   auto &Held = Shared.Witnessed[Request.log()];
@@ -165,7 +164,7 @@
     if (!Known)
       Held.push_back(Entry);
   }
-  if (Held.size() > MostWitnessedEntries)
+  if (Held.size() > MaxWitnessedEntries)
     return Reply;
   Reply.set_granted(true);
   Reply.set_valid_ms(Times.Promise.count());
@@ -178,14 +177,15 @@
   if (Request.guardian() != Self.Log) {
     // The incarnation asked for is gone and promises nothing more; its last promise may still
     // run for as long as this process has lived less than one promise.
-    const auto Lived = std::chrono::duration_cast<Milliseconds>(Now - Born);
+    const auto Uptime = std::chrono::duration_cast<Milliseconds>(Now - StartedAt);
     Reply.set_refused(true);
     Reply.set_gone(true);
-    Reply.set_wait_ms(std::max<int64_t>(0, (Times.Promise - Lived).count()));
+    Reply.set_wait_ms(std::max<int64_t>(0, (Times.Promise - Uptime).count()));
     return Reply;
   }
   std::lock_guard Lock(Shared.Mutex);
-  const Refusal Answer = refuse(Shared.Given, Request.log(), Log->storeUp(), Times.Promise, Now);
+  const Refusal Answer =
+      refuse(Shared.GivenPromises, Request.log(), Log->storeUp(), Times.Promise, Now);
   Reply.set_refused(Answer.Agreed);
   Reply.set_wait_ms(Answer.Wait.count());
   // Also without agreement: another guardian may be gone, and then this one is asked what it has.
--- a/src/membership/records.cpp
+++ b/src/membership/records.cpp
@@ -69,7 +69,7 @@
                                       {"peers", toString(Value.Peers)},
                                       {"epoch", Value.Epoch},
                                       {"released", Value.Released},
-                                      {"heir", Value.Heir}});
+                                      {"heir", Value.Successor}});
 }
 
 Result<OwnerRecord> decodeOwner(const std::string &Text) {
@@ -81,7 +81,7 @@
     Read.Peers = endpointIn(Object, "peers");
     Read.Epoch = Object.at("epoch").to_number<uint64_t>();
     Read.Released = Object.at("released").as_bool();
-    Read.Heir = textIn(Object, "heir");
+    Read.Successor = textIn(Object, "heir");
     return Read;
   });
 }
--- a/src/ownership/authority.cpp
+++ b/src/ownership/authority.cpp
@@ -25,35 +25,35 @@
   return leaseHolds(Value, Now) || promisesHold(Value, Now);
 }
 
-void onLeaseRenewed(Authority &Value, TimePoint SentAt, Milliseconds Life, Milliseconds Margin) {
+void onLeaseRenewed(Authority &Value, TimePoint SentAt, Milliseconds Ttl, Milliseconds Margin) {
   // Counted from before the renewal was sent: the store's own count began later.
-  Value.LeaseUntil = std::max(Value.LeaseUntil, SentAt + Life - Margin);
+  Value.LeaseUntil = std::max(Value.LeaseUntil, SentAt + Ttl - Margin);
 }
 
 void onLeaseLost(Authority &Value) { Value.LeaseUntil = TimePoint{}; }
 
-void onPromise(Authority &Value, const std::string &Guardian, TimePoint SentAt, Milliseconds Life,
+void onPromise(Authority &Value, const std::string &Guardian, TimePoint SentAt, Milliseconds Ttl,
                Milliseconds Margin) {
   TimePoint &Until = Value.Promises[Guardian];
-  Until = std::max(Until, SentAt + Life - Margin);
+  Until = std::max(Until, SentAt + Ttl - Margin);
 }
 
-TimePoint promise(GuardianBook &Book, const std::string &Ward, bool WardCutOff, TimePoint Now,
-                  Milliseconds Life) {
-  GuardianBook::Ward &Entry = Book.Wards[Ward];
+TimePoint promise(GuardianState &State, const std::string &Owner, bool OwnerCutOff, TimePoint Now,
+                  Milliseconds Ttl) {
+  GuardianState::Owner &Entry = State.Owners[Owner];
   if (Entry.Refused)
     return TimePoint{};
-  Entry.PromisedUntil = std::max(Entry.PromisedUntil, Now + Life);
+  Entry.PromisedUntil = std::max(Entry.PromisedUntil, Now + Ttl);
   Entry.LastRenewal = Now;
-  Entry.WardCutOff = WardCutOff;
+  Entry.OwnerCutOff = OwnerCutOff;
   return Entry.PromisedUntil;
 }
 
-Refusal refuse(GuardianBook &Book, const std::string &Ward, bool StoreUp, Milliseconds Silence,
+Refusal refuse(GuardianState &State, const std::string &Owner, bool StoreUp, Milliseconds Silence,
                TimePoint Now) {
-  GuardianBook::Ward &Entry = Book.Wards[Ward];
+  GuardianState::Owner &Entry = State.Owners[Owner];
   const bool Silent = Now - Entry.LastRenewal >= Silence;
-  if (!Entry.Refused && !Silent && !(Entry.WardCutOff && StoreUp))
+  if (!Entry.Refused && !Silent && !(Entry.OwnerCutOff && StoreUp))
     return {};
   Entry.Refused = true;
   const auto Left = std::chrono::ceil<Milliseconds>(Entry.PromisedUntil - Now);
@@ -62,7 +62,7 @@
 
 std::vector<std::string> chooseGuardians(const std::string &Self, const std::string &Zone,
                                          const std::map<std::string, std::string> &Peers,
-                                         size_t Most) {
+                                         size_t MaxCount) {
   struct Candidate {
     bool SameZone;
     uint64_t Rank;
@@ -84,10 +84,10 @@
   std::vector<std::string> Chosen;
   std::set<std::string> Zones;
   for (const Candidate &C : Candidates)
-    if (Chosen.size() < Most && Zones.insert(C.Zone).second)
+    if (Chosen.size() < MaxCount && Zones.insert(C.Zone).second)
       Chosen.push_back(C.Name);
   for (const Candidate &C : Candidates)
-    if (Chosen.size() < Most && std::find(Chosen.begin(), Chosen.end(), C.Name) == Chosen.end())
+    if (Chosen.size() < MaxCount && std::find(Chosen.begin(), Chosen.end(), C.Name) == Chosen.end())
       Chosen.push_back(C.Name);
   return Chosen;
 }
--- a/src/ownership/fence.cpp
+++ b/src/ownership/fence.cpp
@@ -12,14 +12,14 @@
 
 // What a guardian says to the claimant.
 struct GuardianAnswer {
-  bool Gone = false;    ///< The incarnation that promised is proven gone.
-  bool Heard = false;   ///< The incarnation that promised answered itself.
-  bool Refused = false; ///< It gives no more promises.
+  bool Gone = false;     ///< The incarnation that promised is proven gone.
+  bool Answered = false; ///< The incarnation that promised answered itself.
+  bool Refused = false;  ///< It gives no more promises.
   Milliseconds Wait{0};
   std::vector<wire::JournalEntry> Held;
 };
 
-Awaitable<Result<Done>> leaseIsGone(const StoreOps &Store, std::string LogId) {
+Awaitable<Result<Done>> checkLeaseLapsed(const StoreOps &Store, std::string LogId) {
   Result<StoreItems> Members = co_await Store.List("cell/member/");
   if (!ok(Members))
     co_return error(Members);
@@ -31,7 +31,8 @@
   co_return Done{};
 }
 
-Awaitable<GuardianAnswer> ask(const FenceTools &Tools, std::string LogId, wire::Guardian Guardian) {
+Awaitable<GuardianAnswer> requestRefusal(const FenceTools &Tools, std::string LogId,
+                                         wire::Guardian Guardian) {
   GuardianAnswer Answer;
   const Result<Endpoint> Address = parseEndpoint(Guardian.address());
   if (!ok(Address))
@@ -42,13 +43,13 @@
   Request.set_claimant(Tools.Claimant);
   Result<wire::RefuseReply> Reply = Error{};
   if (value(Address) == Tools.Address)
-    Reply = Tools.RefuseHere(Request);
+    Reply = Tools.RefuseLocally(Request);
   else
     Reply = co_await Tools.Peers.Refuse(value(Address), Request);
   if (ok(Reply)) {
     Answer.Refused = value(Reply).refused();
     Answer.Gone = value(Reply).gone();
-    Answer.Heard = !Answer.Gone;
+    Answer.Answered = !Answer.Gone;
     Answer.Wait = Milliseconds(value(Reply).wait_ms());
     Answer.Held.assign(value(Reply).unstored().begin(), value(Reply).unstored().end());
     co_return Answer;
@@ -64,7 +65,7 @@
 Awaitable<Result<Done>> waitForRefusal(const FenceTools &Tools, std::string LogId,
                                        const std::vector<wire::Guardian> &Guardians) {
   for (const wire::Guardian &Guardian : Guardians) {
-    GuardianAnswer Answer = co_await ask(Tools, LogId, Guardian);
+    GuardianAnswer Answer = co_await requestRefusal(Tools, LogId, Guardian);
     if (!Answer.Refused)
       continue;
     co_await sleepFor(Answer.Wait + Tools.Margin);
@@ -76,12 +77,12 @@
 // Gathers what the owner could not store, after it can add nothing more. Every guardian holds
 // all of it, so one that answers is enough; as long as one may be alive, it has to be heard.
 Awaitable<Result<std::vector<wire::JournalEntry>>>
-gatherHeld(const FenceTools &Tools, std::string LogId,
-           const std::vector<wire::Guardian> &Guardians) {
+collectWitnessed(const FenceTools &Tools, std::string LogId,
+                 const std::vector<wire::Guardian> &Guardians) {
   bool AllGone = true;
   for (const wire::Guardian &Guardian : Guardians) {
-    GuardianAnswer Answer = co_await ask(Tools, LogId, Guardian);
-    if (Answer.Heard)
+    GuardianAnswer Answer = co_await requestRefusal(Tools, LogId, Guardian);
+    if (Answer.Answered)
       co_return std::move(Answer.Held);
     AllGone = AllGone && Answer.Gone;
   }
@@ -101,7 +102,7 @@
   // A process that is gone sends nothing, whatever its lease and its promises say.
   const bool Gone = Tools.ProvenGone(LogId);
   if (!Gone) {
-    Result<Done> Lapsed = co_await leaseIsGone(Tools.Store, LogId);
+    Result<Done> Lapsed = co_await checkLeaseLapsed(Tools.Store, LogId);
     if (!ok(Lapsed))
       co_return Lapsed;
   }
@@ -114,7 +115,8 @@
       Refused = co_await waitForRefusal(Tools, LogId, Guardians);
     if (!ok(Refused))
       co_return Refused;
-    Result<std::vector<wire::JournalEntry>> Gathered = co_await gatherHeld(Tools, LogId, Guardians);
+    Result<std::vector<wire::JournalEntry>> Gathered =
+        co_await collectWitnessed(Tools, LogId, Guardians);
     if (!ok(Gathered))
       co_return error(Gathered);
     Held = std::move(value(Gathered));
--- a/src/ownership/fence_test.cpp
+++ b/src/ownership/fence_test.cpp
@@ -110,7 +110,7 @@
   std::function<void()> OnAsk;
 };
 
-TEST_F(FenceTest, GuardianThatIsGoneDoesNotHideWhatAnotherHolds) {
+TEST_F(FenceTest, GoneGuardianDoesNotHideRecordsOfAnother) {
   // scripts/faults --seed 7 found this: the first guardian had restarted, and its "gone" was
   // taken for "holds nothing".
   Replies[First] = reply(true, true, {});
@@ -119,21 +119,21 @@
   EXPECT_EQ(jobsAfter(), (std::vector<std::string>{"stored", "witnessed"}));
 }
 
-TEST_F(FenceTest, GuardianThatMayLiveHasToBeHeard) {
+TEST_F(FenceTest, UnreachableGuardianBlocksSealUnlessGone) {
   Replies[First] = reply(true, true, {});
   EXPECT_FALSE(ok(runOne(Io, fenceJournal(Tools, "owner.1"))));
   Closed.insert(Second);
   EXPECT_TRUE(ok(runOne(Io, fenceJournal(Tools, "owner.1"))));
 }
 
-TEST_F(FenceTest, OwnerWithItsLeaseIsLeftAlone) {
+TEST_F(FenceTest, OwnerWithLeaseIsNotFenced) {
   Replies[First] = reply(true, false, {});
   MemberInfo Owner{"owner", "owner.1", "olano", "z1", First, First, First};
   Store.put(memberKey("owner"), encodeMember(Owner), 0, 0);
   EXPECT_FALSE(ok(runOne(Io, fenceJournal(Tools, "owner.1"))));
 }
 
-TEST_F(FenceTest, OwnerThatIsProvenGoneNeedsNoLapse) {
+TEST_F(FenceTest, GoneOwnerIsFencedBeforeLeaseExpiry) {
   Replies[Second] = reply(false, false, {held("witnessed", 1)});
   Replies[First] = reply(false, false, {held("witnessed", 1)});
   MemberInfo Owner{"owner", "owner.1", "olano", "z1", First, First, First};
@@ -144,7 +144,7 @@
   EXPECT_EQ(jobsAfter(), (std::vector<std::string>{"stored", "witnessed"}));
 }
 
-TEST_F(FenceTest, NoGuardianRefusesNoSeal) {
+TEST_F(FenceTest, NoSealWithoutGuardianRefusal) {
   Replies[First] = reply(false, false, {});
   Replies[Second] = reply(false, false, {});
   EXPECT_FALSE(ok(runOne(Io, fenceJournal(Tools, "owner.1"))));
@@ -165,7 +165,7 @@
   EXPECT_FALSE(ok(runOne(Io, fenceJournal(Tools, "owner.1"))));
 }
 
-TEST_F(FenceTest, SealedOwnerFindsOutAtItsNextWrite) {
+TEST_F(FenceTest, SealedOwnerIsFencedOnNextWrite) {
   Replies[First] = reply(true, false, {});
   ASSERT_TRUE(ok(runOne(Io, fenceJournal(Tools, "owner.1"))));
   std::optional<Durability> Value;
@@ -176,7 +176,7 @@
   EXPECT_TRUE(Log.fenced());
 }
 
-TEST_F(FenceTest, RecordsThatReachedTheStoreAreNotTakenTwice) {
+TEST_F(FenceTest, StoredRecordsAreNotDuplicated) {
   Replies[First] = reply(true, false, {held("stored", 0), held("witnessed", 1)});
   ASSERT_TRUE(ok(runOne(Io, fenceJournal(Tools, "owner.1"))));
   EXPECT_EQ(jobsAfter(), (std::vector<std::string>{"stored", "witnessed"}));
--- a/src/ownership/journal.cpp
+++ b/src/ownership/journal.cpp
@@ -71,7 +71,7 @@
       Queue.push_back(std::move(Item));
   }
   if (Refused)
-    return call({Refused}, Durability::Lost);
+    return invokeCallbacks({Refused}, Durability::Lost);
   asio::post(Wake.get_executor(), [this] { Wake.cancel(); });
 }
 
@@ -130,7 +130,7 @@
                              false);
 }
 
-Awaitable<Durability> Journal::softBarrier() {
+Awaitable<Durability> Journal::witnessedBarrier() {
   co_return co_await waitFor([this](DurableCallback Callback) { append({}, std::move(Callback)); },
                              true);
 }
@@ -190,7 +190,7 @@
   std::lock_guard Lock(Mutex);
   if (Queue.empty() || IsFenced || UnstoredBytes > Limits.MaxUnstoredBytes)
     return false;
-  if (!Written.empty() && !DownSince)
+  if (!UnstoredEntries.empty() && !DownSince)
     return false;
   Unstored New;
   New.Entry.set_log(Log);
@@ -199,15 +199,15 @@
   fill(New);
   NextRecord += New.Entry.record_size();
   UnstoredBytes += New.Bytes;
-  Written.push_back(std::move(New));
+  UnstoredEntries.push_back(std::move(New));
   return true;
 }
 
 // Takes the entry behind \p Front in, if one entry can hold both.
 bool Journal::mergeNext(Unstored &Front) {
-  if (Written.empty() || Front.Bytes >= Limits.MaxEntryBytes || Front.Entry.seal())
+  if (UnstoredEntries.empty() || Front.Bytes >= Limits.MaxEntryBytes || Front.Entry.seal())
     return false;
-  Unstored &Next = Written.front();
+  Unstored &Next = UnstoredEntries.front();
   if (Next.Entry.snapshot_begin())
     return false;
   Front.Entry.mutable_record()->MergeFrom(Next.Entry.record());
@@ -219,19 +219,19 @@
   }
   std::move(Next.Callbacks.begin(), Next.Callbacks.end(), std::back_inserter(Front.Callbacks));
   Front.Bytes += Next.Bytes;
-  Written.pop_front();
+  UnstoredEntries.pop_front();
   return true;
 }
 
 // Makes the oldest entry final before its first way to the store: takes in the entries that
 // gathered behind it in an outage, and gives it its sequence.
 void Journal::prepareFront() {
-  if (Written.front().Attempted)
+  if (UnstoredEntries.front().Attempted)
     return;
   // Out of the queue while others are taken from it: a reference into a deque does not outlive
   // that. The journal lost records written in an outage, and reports waited for them for good.
-  Unstored Front = std::move(Written.front());
-  Written.pop_front();
+  Unstored Front = std::move(UnstoredEntries.front());
+  UnstoredEntries.pop_front();
   while (mergeNext(Front)) {
   }
   Front.Attempted = true;
@@ -243,10 +243,10 @@
     SnapshotOpen = false;
   }
   Front.Entry.set_snapshot_start(SnapshotStart);
-  Written.push_front(std::move(Front));
+  UnstoredEntries.push_front(std::move(Front));
 }
 
-void Journal::call(std::vector<DurableCallback> Callbacks, Durability Value) {
+void Journal::invokeCallbacks(std::vector<DurableCallback> Callbacks, Durability Value) {
   for (DurableCallback &Callback : Callbacks)
     asio::post(Where, [Callback = std::move(Callback), Value] { Callback(Value); });
 }
@@ -255,17 +255,17 @@
   std::vector<DurableCallback> Callbacks;
   {
     std::lock_guard Lock(Mutex);
-    Unstored &Front = Written.front();
+    Unstored &Front = UnstoredEntries.front();
     SlotVersions[Front.Entry.sequence() % Limits.RingSlots] = Version;
     StoredBelow = Front.Entry.sequence() + 1;
     StoredRecordsBelow = Front.Entry.first_record() + Front.Entry.record_size();
     UnstoredBytes -= Front.Bytes;
     Callbacks = std::move(Front.Callbacks);
-    Written.pop_front();
+    UnstoredEntries.pop_front();
     ++WriteCount;
   }
-  noteStore(true);
-  call(std::move(Callbacks), Durability::Stored);
+  reportStoreStatus(true);
+  invokeCallbacks(std::move(Callbacks), Durability::Stored);
 }
 
 void Journal::onFenced() {
@@ -273,18 +273,18 @@
   {
     std::lock_guard Lock(Mutex);
     IsFenced = true;
-    for (Unstored &Entry : Written)
+    for (Unstored &Entry : UnstoredEntries)
       std::move(Entry.Callbacks.begin(), Entry.Callbacks.end(), std::back_inserter(Callbacks));
     for (Pending &Item : Queue)
       if (Item.Callback)
         Callbacks.push_back(std::move(Item.Callback));
-    Written.clear();
+    UnstoredEntries.clear();
     Queue.clear();
   }
-  call(std::move(Callbacks), Durability::Lost);
+  invokeCallbacks(std::move(Callbacks), Durability::Lost);
 }
 
-void Journal::noteStore(bool Answers) {
+void Journal::reportStoreStatus(bool Answers) {
   std::lock_guard Lock(Mutex);
   if (Answers) {
     if (DownSince && Time.Now() - *DownSince >= Limits.DownAfter)
@@ -327,19 +327,19 @@
 
 // Finds out what became of a write without a certain answer. True: the entry is in the store
 // or the journal is fenced, and the state says which; false: it is surely not there.
-Awaitable<bool> Journal::resolve(const std::string &Key, const wire::JournalEntry &Entry,
-                                 uint64_t Expect) {
+Awaitable<bool> Journal::resolveUnknownOutcome(const std::string &Key,
+                                               const wire::JournalEntry &Entry, uint64_t Expect) {
   while (true) {
     Result<StoreItem> Got = co_await Store.Get(Key);
     if (!ok(Got)) {
-      noteStore(false);
+      reportStoreStatus(false);
       co_await witnessAll();
       co_await sleepFor(Limits.RetryPause);
       if (fenced())
         co_return true;
       continue;
     }
-    noteStore(true);
+    reportStoreStatus(true);
     if (value(Got).Version == Expect)
       co_return false;
     wire::JournalEntry Found;
@@ -358,7 +358,7 @@
   {
     std::lock_guard Lock(Mutex);
     prepareFront();
-    Entry = Written.front().Entry;
+    Entry = UnstoredEntries.front().Entry;
     Expect = SlotVersions[Entry.sequence() % Limits.RingSlots];
   }
   const std::string Key = slotKey(Entry.sequence());
@@ -368,12 +368,12 @@
     co_return true;
   }
   if (error(Put).Kind == ErrorKind::StoreUnavailable) {
-    noteStore(false);
+    reportStoreStatus(false);
     co_return false;
   }
   if (error(Put).Kind == ErrorKind::OutcomeUnknown)
-    noteStore(false);
-  co_return co_await resolve(Key, Entry, Expect);
+    reportStoreStatus(false);
+  co_return co_await resolveUnknownOutcome(Key, Entry, Expect);
 }
 
 // While the store is down, gives new entries to the guardians instead.
@@ -385,7 +385,7 @@
   std::vector<wire::JournalEntry> Entries;
   {
     std::lock_guard Lock(Mutex);
-    for (const Unstored &Entry : Written)
+    for (const Unstored &Entry : UnstoredEntries)
       if (!Entry.Witnessed)
         Entries.push_back(Entry.Entry);
   }
@@ -398,14 +398,14 @@
   std::vector<DurableCallback> Callbacks;
   {
     std::lock_guard Lock(Mutex);
-    for (Unstored &Entry : Written) {
+    for (Unstored &Entry : UnstoredEntries) {
       if (Entry.Witnessed || Entry.Entry.first_record() > Last)
         continue;
       Entry.Witnessed = true;
       Callbacks.insert(Callbacks.end(), Entry.Callbacks.begin(), Entry.Callbacks.end());
     }
   }
-  call(std::move(Callbacks), Durability::Witnessed);
+  invokeCallbacks(std::move(Callbacks), Durability::Witnessed);
 }
 
 Awaitable<void> Journal::run() {
@@ -414,7 +414,7 @@
     bool HaveEntry = false;
     {
       std::lock_guard Lock(Mutex);
-      HaveEntry = !Written.empty();
+      HaveEntry = !UnstoredEntries.empty();
       if (Stopping && !HaveEntry && Queue.empty())
         co_return;
     }
--- a/src/ownership/journal_test.cpp
+++ b/src/ownership/journal_test.cpp
@@ -43,20 +43,20 @@
     Record.set_shard(1);
     Record.mutable_job_cancelled()->set_job(Job);
     Appended.push_back(Job);
-    Log.append({Record}, [this, Job](Durability Value) { Heard[Job].push_back(Value); });
+    Log.append({Record}, [this, Job](Durability Value) { Outcomes[Job].push_back(Value); });
   }
 
   // Appends a record in the outage; the guardians have it alone, as an entry.
   void appendWitnessed(const std::string &Job) {
     append(Job);
-    ASSERT_TRUE(runUntil([&] { return !Heard[Job].empty(); })) << Job;
-    ASSERT_EQ(Heard[Job].front(), Durability::Witnessed) << Job;
+    ASSERT_TRUE(runUntil([&] { return !Outcomes[Job].empty(); })) << Job;
+    ASSERT_EQ(Outcomes[Job].front(), Durability::Witnessed) << Job;
   }
 
   bool allStored() const {
     return std::all_of(Appended.begin(), Appended.end(), [&](const std::string &Job) {
-      const auto Found = Heard.find(Job);
-      return Found != Heard.end() && !Found->second.empty() &&
+      const auto Found = Outcomes.find(Job);
+      return Found != Outcomes.end() && !Found->second.empty() &&
              Found->second.back() == Durability::Stored;
     });
   }
@@ -78,7 +78,7 @@
   WriteBudget Budget;
   Journal Log;
   std::vector<std::string> Appended;
-  std::map<std::string, std::vector<Durability>> Heard;
+  std::map<std::string, std::vector<Durability>> Outcomes;
 };
 
 // A process was cut from the store for 11 s and went on by its guardians' promises. Afterwards 15
@@ -90,7 +90,7 @@
 // held by a reference while the second was taken out of the queue; with four entries or more that
 // moves the first instead, so that the others were merged into an object that was gone: their
 // records were lost, and the callbacks that reports wait for.
-TEST_F(JournalTest, StoresAllThatGatheredInAnOutage) {
+TEST_F(JournalTest, StoresAllRecordsAppendedDuringOutage) {
   append("before");
   ASSERT_TRUE(runUntil([&] { return allStored(); }));
   Store.Outage = true;
--- a/src/ownership/ownership.cpp
+++ b/src/ownership/ownership.cpp
@@ -15,13 +15,13 @@
 namespace asio = boost::asio;
 namespace {
 constexpr uint32_t RingSlots = JournalLimits{}.RingSlots;
-constexpr Milliseconds LookEvery{500};
+constexpr Milliseconds PollInterval{500};
 // How long each further candidate waits for the one before it to claim.
-constexpr Milliseconds RankPause{1500};
+constexpr Milliseconds ClaimDelayPerRank{1500};
 // A shard moves to its preferred owner only after the view was stable for so long.
-constexpr Milliseconds MoveAfter{2000};
-constexpr Milliseconds GarbageAfter{60000};
-constexpr size_t MostHandoverBytes = 900 * 1024;
+constexpr Milliseconds RebalanceDelay{2000};
+constexpr Milliseconds SealedJournalRetention{60000};
+constexpr size_t MaxHandoverBytes = 900 * 1024;
 
 std::string encodeRecords(const std::vector<wire::Record> &Records) {
   wire::JournalEntry Entry;
@@ -79,7 +79,7 @@
       co_await reconcile();
     if (Tools.Log.snapshotDue())
       co_await snapshot();
-    Wake.expires_after(LookEvery);
+    Wake.expires_after(PollInterval);
     co_await Wake.async_wait(asio::as_tuple(asio::use_awaitable));
   }
 }
@@ -92,9 +92,9 @@
     const auto Found = View->Owners.find(Shard);
     const bool Known = Found != View->Owners.end();
     if (Known && isMine(Found->second)) {
-      const MemberInfo *Better = preferredOwner(*View, Shard);
+      const MemberInfo *Preferred = preferredOwner(*View, Shard);
       const std::shared_ptr<ShardRunner> Runner = find(Shard);
-      const bool Misplaced = Runner && Better && Better->Log != Self.Log;
+      const bool Misplaced = Runner && Preferred && Preferred->Log != Self.Log;
       TimePoint Since = Now;
       {
         std::lock_guard Lock(Mutex);
@@ -103,8 +103,8 @@
         else
           MisplacedSince.erase(Shard);
       }
-      if (Misplaced && Now - Since >= MoveAfter)
-        co_await release(Runner, Better->Log);
+      if (Misplaced && Now - Since >= RebalanceDelay)
+        co_await release(Runner, Preferred->Log);
       continue;
     }
     const bool Owned = Known && !Found->second.Released && View->Members.count(Found->second.Log);
@@ -119,8 +119,8 @@
       Since = OwnerlessSince.emplace(Shard, Now).first->second;
     }
     // Later candidates step in one by one if those before them do not.
-    const auto Rank = static_cast<size_t>((Now - Since) / RankPause);
-    bool Candidate = Known && Found->second.Released && Found->second.Heir == Self.Log;
+    const auto Rank = static_cast<size_t>((Now - Since) / ClaimDelayPerRank);
+    bool Candidate = Known && Found->second.Released && Found->second.Successor == Self.Log;
     for (size_t R = 0; R <= Rank && !Candidate; ++R) {
       const MemberInfo *Choice = preferredOwner(*View, Shard, R);
       Candidate = Choice && Choice->Log == Self.Log;
@@ -142,7 +142,7 @@
   if (!Tools.Shared.mayActAt(Tools.Time.Now()) || !Tools.Log.storeUp())
     co_return;
   if (Old.Log.empty())
-    co_return co_await claimFresh(Shard);
+    co_return co_await claimUnowned(Shard);
   if (Old.Released)
     co_return co_await claimReleased(Shard, Old);
   if (!co_await fence(Old.Log))
@@ -157,7 +157,7 @@
   co_await takeOver(Old, recordsOf(value(View), Shard), false);
 }
 
-Awaitable<void> Ownership::claimFresh(uint32_t Shard) {
+Awaitable<void> Ownership::claimUnowned(uint32_t Shard) {
   OwnerRecord None;
   None.Shard = Shard;
   std::vector<wire::Record> NoRecords;
@@ -182,7 +182,7 @@
   Fence.Peers = Tools.Peers;
   Fence.Claimant = Self.Log;
   Fence.Address = Self.Peers;
-  Fence.RefuseHere = [this](const wire::RefuseRequest &Request) {
+  Fence.RefuseLocally = [this](const wire::RefuseRequest &Request) {
     return Promises.onRefuseAsked(Request);
   };
   Fence.ProvenGone = [this](const std::string &Log) { return Tools.Watch.provenGone(Log); };
@@ -214,10 +214,10 @@
     else if (ok(Got))
       Put = Error{ErrorKind::Conflict, "another process changed " + Key};
     else
-      co_await sleepFor(LookEvery);
+      co_await sleepFor(PollInterval);
   }
   if (ok(Put))
-    Tools.Watch.note({Key, Text, value(Put)});
+    Tools.Watch.applyLocalWrite({Key, Text, value(Put)});
   co_return Put;
 }
 
@@ -259,12 +259,12 @@
 }
 
 // Hands one shard over: stop placing, settle what is in flight, leave the state in the store.
-Awaitable<bool> Ownership::release(std::shared_ptr<ShardRunner> Runner, std::string Heir) {
+Awaitable<bool> Ownership::release(std::shared_ptr<ShardRunner> Runner, std::string Successor) {
   if (!Tools.Log.storeUp())
     co_return false;
   const uint32_t Shard = Runner->shard();
   const std::string State = encodeRecords(co_await Runner->drain());
-  if (State.size() > MostHandoverBytes) {
+  if (State.size() > MaxHandoverBytes) {
     Runner->resume();
     co_return false;
   }
@@ -280,7 +280,7 @@
   }
   OwnerRecord Record = Found->second;
   Record.Released = true;
-  Record.Heir = std::move(Heir);
+  Record.Successor = std::move(Successor);
   // Nothing may be sent once the record can be read.
   Runner->stop();
   Result<uint64_t> Put = co_await writeOwner(Record, Found->second.Version);
@@ -289,7 +289,7 @@
     Runners.erase(Shard);
     MisplacedSince.erase(Shard);
   }
-  logEvent(events::ShardReleased, {{"shard", std::to_string(Shard)}, {"to", Record.Heir}});
+  logEvent(events::ShardReleased, {{"shard", std::to_string(Shard)}, {"to", Record.Successor}});
   co_return ok(Put);
 }
 
@@ -347,7 +347,7 @@
                       [&](const auto &Entry) { return Entry.second.Log == Sealed.first; });
       if (Named)
         Sealed.second = Now;
-      else if (Now - Sealed.second >= GarbageAfter)
+      else if (Now - Sealed.second >= SealedJournalRetention)
         Unused.push_back(Sealed.first);
     }
   }
