--- a/src/include/valveshelf/authority.h
+++ b/src/include/valveshelf/authority.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-// When a process may act for the shards it owns, and when it has to promise or refuse to help
-// claimants of another's shards. Pure state; the ownership loops feed it.
+// Decides when a process may act for the shards it owns, and when a guardian promises an owner
+// not to help claimants or agrees to help them. Pure state, updated by the membership loops.
 //
-// The rule: an owner may act while its store lease holds OR while every guardian that it
-// recorded has a promise running. A claimant must see the lease lapsed AND have one recorded
-// guardian refuse (or be proven gone), wait that guardian's last promise out, and then seal the
-// journal by a compare-and-swap on the very slot it saw empty before it looked at the lease.
-// Extending needs all guardians, taking needs one: both cannot succeed.
+// Invariant: an owner may act while its store lease is valid OR while every recorded guardian has
+// an unexpired promise to it. A claimant must see the lease expired AND have one recorded guardian
+// refuse further promises (or be proven gone), wait until that guardian's last promise expires,
+// and then seal the journal by compare-and-swap on the slot it saw empty before it checked the
+// lease. Extending needs all guardians and a takeover needs one, so both cannot succeed.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -18,59 +18,59 @@
 
 namespace valveshelf {
 
-/// The owner's side.
+/// Authority of an owner over its shards.
 struct Authority {
-  TimePoint LeaseUntil{};                    ///< Margin already taken off.
-  std::map<std::string, TimePoint> Promises; ///< Guardian's incarnation to the promise's end.
-  std::set<std::string> Guardians;           ///< The set recorded in the store. While a change has
-                                             ///< no certain answer, old and new set together.
-  bool Fenced = false;                       ///< The journal is sealed. Never unset.
+  TimePoint LeaseUntil{};                    ///< Safety margin already subtracted.
+  std::map<std::string, TimePoint> Promises; ///< Expiry by guardian incarnation.
+  std::set<std::string> Guardians; ///< The set recorded in the store. While the outcome of
+                                   ///< a change is unknown, union of old and new set.
+  bool Fenced = false;             ///< The journal is sealed. Never reset.
 };
 
-/// True if a start may be sent at \p Now.
+/// True if a start request may be sent at \p Now.
 bool mayAct(const Authority &Value, TimePoint Now);
-/// True if the store lease alone carries the authority.
+/// True if the store lease alone grants authority at \p Now.
 bool leaseHolds(const Authority &Value, TimePoint Now);
-/// True if all recorded guardians' promises run; false for an empty set.
+/// True if no recorded guardian's promise has expired at \p Now; false without guardians.
 bool promisesHold(const Authority &Value, TimePoint Now);
 
-/// A renewal that was sent at \p SentAt succeeded for \p Ttl.
+/// Records a lease renewal that was sent at \p SentAt and granted \p Ttl.
 void onLeaseRenewed(Authority &Value, TimePoint SentAt, Milliseconds Ttl, Milliseconds Margin);
-/// The store says that the lease has lapsed.
+/// Records that the store reported the lease as expired.
 void onLeaseLost(Authority &Value);
-/// A guardian's promise, asked for at \p SentAt, holds for \p Ttl.
+/// Records a guardian's promise that was requested at \p SentAt and granted for \p Ttl.
 void onPromise(Authority &Value, const std::string &Guardian, TimePoint SentAt, Milliseconds Ttl,
                Milliseconds Margin);
 
-/// The guardian's side: what it promised to whom.
+/// What a guardian has promised to each owner.
 struct GuardianState {
   struct Owner {
     TimePoint PromisedUntil{};
     TimePoint LastRenewal{};
-    bool Refused = false;     ///< Never unset: refusing is final for that incarnation.
-    bool OwnerCutOff = false; ///< The ward says it has not reached the store for a while.
+    bool Refused = false;     ///< Never reset: a refusal is final for that incarnation.
+    bool OwnerCutOff = false; ///< The owner reported that it can't reach the store.
   };
-  std::map<std::string, Owner> Owners; ///< By the ward's incarnation.
+  std::map<std::string, Owner> Owners; ///< By the owner's incarnation.
 };
 
-/// Promises not to help anyone claim \p Owner's shards until the time returned; the zero time if
-/// it refuses.
+/// Promises not to help anyone claim \p Owner's shards until the time returned. Returns the zero
+/// time if a promise was already refused.
 TimePoint promise(GuardianState &State, const std::string &Owner, bool OwnerCutOff, TimePoint Now,
                   Milliseconds Ttl);
 
-/// What a guardian answers a claimant.
+/// A guardian's answer to a claimant.
 struct Refusal {
-  bool Agreed = false;  ///< It will give \p Owner no further promise.
-  Milliseconds Wait{0}; ///< How long the last promise may still run.
+  bool Agreed = false;  ///< The owner gets no further promise.
+  Milliseconds Wait{0}; ///< Time until the last promise expires.
 };
 
-/// Asks the guardian to refuse \p Owner from now on. It agrees only if the ward fell silent for
-/// \p Silence or is cut off from a store that \p StoreUp here.
+/// Refuses \p Owner further promises, if it has not renewed for \p Silence, or if it reported
+/// itself cut off from the store while the store answers here (\p StoreUp).
 Refusal refuse(GuardianState &State, const std::string &Owner, bool StoreUp, Milliseconds Silence,
                TimePoint Now);
 
-/// Chooses up to \p MaxCount guardians for \p Self among \p Peers (incarnation to zone), other
-/// zones first, stable while the peers live.
+/// Chooses up to \p MaxCount guardians for \p Self among \p Peers (incarnation to availability
+/// zone), other zones first. The choice is stable while \p Peers does not change.
 std::vector<std::string> chooseGuardians(const std::string &Self, const std::string &Zone,
                                          const std::map<std::string, std::string> &Peers,
                                          size_t MaxCount);
