--- a/src/include/valveshelf/fence.h
+++ b/src/include/valveshelf/fence.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Making sure that a lost owner can act no more, before anyone takes its shards.
+// Fencing: ensures that a failed owner can no longer act before its shards are taken over.
 #pragma once
 
 #include "valveshelf/journal.h"
@@ -9,15 +9,16 @@
 
 namespace valveshelf {
 
-/// What a claimant works with.
+/// Dependencies and settings of a claimant.
 struct FenceTools {
   StoreOps Store;
   PeerOps Peers;
-  std::string Claimant; ///< Its own journal.
-  Endpoint Address;     ///< Where it answers as a guardian itself.
+  std::string Claimant; ///< Journal of the claiming process.
+  Endpoint Address;     ///< Address at which the claimant serves as a guardian.
+  /// Answers a refuse request when the claimant itself is the guardian.
   std::function<wire::RefuseReply(const wire::RefuseRequest &)> RefuseLocally;
   /// True if the process of a journal is proven gone: nothing listens at its address any more.
-  /// It had neither to lapse nor to be refused then.
+  /// Neither lease expiry nor a guardian's refusal is required then.
   std::function<bool(const std::string &LogId)> ProvenGone = [](const std::string &) {
     return false;
   };
@@ -26,10 +27,11 @@
   uint32_t RingSlots = JournalLimits{}.RingSlots;
 };
 
-/// Seals the journal \p LogId so that its owner can act no more. In this order: the journal is
-/// read, the lease is seen to be gone, one guardian refuses or is proven gone and its last
-/// promise is waited out, what guardians hold for the owner is gathered, and the slot that was
-/// empty at the first step is sealed. Conflict: the owner lives, or somebody else was faster.
+/// Seals the journal \p LogId so that its owner can no longer act. Steps, in this order: read the
+/// journal; check that the lease has expired; get one guardian to refuse, or prove it gone, and
+/// wait until its last promise expires; collect the witnessed entries that guardians hold for the
+/// owner; seal the slot that was empty in the first step. Returns Conflict if the owner is alive or
+/// another claimant was faster, or if no guardian answers and one may be alive.
 Awaitable<Result<Done>> fenceJournal(FenceTools Tools, std::string LogId);
 
 } // namespace valveshelf
