--- a/src/include/valveshelf/journal.h
+++ b/src/include/valveshelf/journal.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-// A process's journal in the platform's store: group commit, fencing by seal, and the way on
-// through a store outage with guardians as witnesses.
+// A process's journal in the platform's store: group commit, fencing by seal, and replication to
+// guardians ("witnesses") during a store outage.
 //
-// The journal is a ring of keys `log/<log>/<slot>`, written only by compare-and-swap on the
-// slot's version. Whoever seals it writes the next slot first, so that the owner's next write
-// fails: from then on nothing can be made durable by the owner.
+// The journal is a ring of keys `log/<log>/<slot>`, written only by compare-and-swap on the slot's
+// version. A claimant seals it by writing the next slot, so that the owner's next write fails and
+// the owner can make nothing durable any more.
 #pragma once
 
 #include "valveshelf/platform.h"
@@ -22,34 +22,34 @@
 
 namespace valveshelf {
 
-/// How safe appended records are.
+/// Durability of appended records.
 enum class Durability {
   Witnessed, ///< Every guardian holds them in memory; the store does not answer.
-  Stored,    ///< The store has them.
-  Lost,      ///< The journal was sealed first; they do not count.
+  Stored,    ///< Written to the store.
+  Lost,      ///< The journal was sealed first; the records are discarded.
 };
 
 /// Called once with Stored or Lost, and before that at most once with Witnessed.
 using DurableCallback = std::function<void(Durability)>;
 
-/// Hands entries that the store has not taken to all guardians; true if every one has them.
+/// Sends entries that are not in the store to all guardians; true if every guardian holds them.
 using WitnessFunction = std::function<Awaitable<bool>(std::vector<wire::JournalEntry> Unstored)>;
 
 struct JournalLimits {
   uint32_t RingSlots = 64;
   uint32_t SnapshotEvery = 24;       ///< Entries after which a snapshot is due.
-  size_t MaxEntryBytes = 300 * 1024; ///< Of records; the JSON form is about twice that.
+  size_t MaxEntryBytes = 300 * 1024; ///< Size of the records; JSON is about twice as large.
   size_t MaxUnstoredBytes = 8 * 1024 * 1024;
   Milliseconds RetryPause{100};
-  Milliseconds DownAfter{500}; ///< Failures for so long mean that the store is down.
+  Milliseconds DownAfter{500}; ///< The store counts as down after failing this long.
 };
 
-/// A rate of writes, shared by everything in the process that writes. Safe from any thread.
+/// Token bucket that limits the rate of the journal's store writes. Safe from any thread.
 class WriteBudget {
 public:
   WriteBudget(double PerSecond, double Burst) : Rate(PerSecond), Burst(Burst), Tokens(Burst) {}
   void setRate(double PerSecond, double NewBurst);
-  /// Takes a token if there is one; else returns how long until there is.
+  /// Takes a token, or returns the time until one is available.
   std::optional<Milliseconds> take(TimePoint Now);
 
 private:
@@ -60,7 +60,7 @@
   TimePoint Last{};
 };
 
-/// The writing side. Safe from any thread; callbacks run on the executor.
+/// Writer of a journal. Safe from any thread; callbacks run on the executor.
 class Journal {
 public:
   Journal(Executor Where, std::string LogId, StoreOps Store, Clock Time, JournalLimits Limits,
@@ -68,33 +68,33 @@
 
   const std::string &logId() const { return Log; }
 
-  /// Queues records; their order is the order of the calls. Never blocks.
+  /// Queues records in the order of the calls. Never blocks.
   void append(std::vector<wire::Record> Records, DurableCallback WhenDurable);
-  /// Waits until everything appended before is Stored or Lost.
+  /// Waits until all records appended earlier are Stored or Lost.
   Awaitable<Durability> barrier();
-  /// As `barrier`, but Witnessed is enough.
+  /// Like `barrier`, but also returns once they are Witnessed.
   Awaitable<Durability> witnessedBarrier();
   /// Records a new set of guardians.
   void setGuardians(std::vector<wire::Guardian> Guardians, DurableCallback WhenDurable);
-  /// The records appended between the two calls rebuild all owned shards.
+  /// Bracket a snapshot: the records appended in between must rebuild all owned shards.
   void beginSnapshot();
   void endSnapshot();
   bool snapshotDue() const;
-  /// Writes what is pending until `stop`. Run once.
+  /// Writes pending records until `stop` or until fenced. Call once.
   Awaitable<void> run();
-  /// Ends `run` after the entry that is being written.
+  /// Makes `run` return once all pending records are stored.
   void stop();
-  /// Writes the seal after everything appended so far; the planned end of the journal.
+  /// Seals the journal after all records appended so far, at planned shutdown.
   void appendSeal(DurableCallback WhenDurable);
 
   bool storeUp() const;
-  /// How long the store has not answered; zero while it does.
+  /// Duration of the current store outage; zero if the store answers.
   Milliseconds storeDownFor() const;
   bool fenced() const;
-  /// Number below which every record is stored.
+  /// All records numbered below this are stored.
   uint64_t storedRecords() const;
   uint64_t writes() const;
-  /// Another part of the process found that the store answers, or not.
+  /// Reports whether the store answered a request of another part of the process.
   void reportStoreStatus(bool Answers);
 
 private:
@@ -111,7 +111,7 @@
     std::vector<DurableCallback> Callbacks;
     size_t Bytes = 0;
     bool Witnessed = false;
-    bool Attempted = false; ///< Sent to the store at least once: its content is final.
+    bool Attempted = false; ///< Sent to the store at least once; the content is final.
   };
 
   void push(Pending Item);
@@ -143,13 +143,13 @@
   std::deque<Pending> Queue;
   std::deque<Unstored> UnstoredEntries; ///< Built entries, oldest first. Only the first is ever
                                         ///< sent to the store; it gets its sequence then.
-  std::vector<uint64_t> SlotVersions;   ///< Version last written, by slot; 0: never.
-  uint64_t NextRecord = 0;              ///< Number of the next record to be put in an entry.
+  std::vector<uint64_t> SlotVersions;   ///< Version last written, by slot; 0 if never written.
+  uint64_t NextRecord = 0;              ///< Number of the next record to be added to an entry.
   uint64_t StoredBelow = 0;             ///< Sequence of the next entry to be stored.
   uint64_t StoredRecordsBelow = 0;
   uint64_t SnapshotStart = 0; ///< First entry of the newest complete snapshot.
   uint64_t OpenSnapshotStart = 0;
-  bool SnapshotOpen = false; ///< Begun and its end not yet in an entry.
+  bool SnapshotOpen = false; ///< Begun, and its end is not yet in a prepared entry.
   std::vector<wire::Guardian> CurrentGuardians;
   size_t UnstoredBytes = 0;
   std::optional<TimePoint> DownSince;
@@ -158,27 +158,27 @@
   uint64_t WriteCount = 0;
 };
 
-/// A journal as a successor reads it.
+/// Content of a journal as read by a successor.
 struct JournalView {
   std::vector<wire::JournalEntry> Entries; ///< From the newest complete snapshot, in order.
   bool Sealed = false;
   uint64_t NextSequence = 0;
   uint64_t NextRecord = 0;
-  uint64_t NextSlotVersion = 0; ///< Of the slot that the next entry goes to.
+  uint64_t NextSlotVersion = 0; ///< Version of the slot for the next entry.
   std::vector<wire::Guardian> Guardians;
 };
 
-/// Reads the journal \p LogId. NotFound if there is none.
+/// Reads the journal \p LogId. Returns NotFound if it does not exist.
 Awaitable<Result<JournalView>> readJournal(const StoreOps &Store, std::string LogId,
                                            uint32_t RingSlots);
 
-/// Seals the journal behind the entry that \p View ends with, keeping the witnessed entries that
-/// the owner could not store. Conflict: the owner or another claimant wrote first.
+/// Seals the journal after the last entry of \p View. The seal includes the \p Witnessed records
+/// that the owner could not store. Returns Conflict if the owner or another claimant wrote first.
 Awaitable<Result<Done>> sealJournal(const StoreOps &Store, std::string LogId, std::string Claimant,
                                     JournalView View, std::vector<wire::JournalEntry> Witnessed,
                                     uint32_t RingSlots);
 
-/// The records of \p Shard in the view, to be replayed from an empty shard.
+/// Records of \p Shard in \p View, to be replayed on an empty shard.
 std::vector<wire::Record> recordsOf(const JournalView &View, uint32_t Shard);
 
 } // namespace valveshelf
