--- a/src/include/valveshelf/membership.h
+++ b/src/include/valveshelf/membership.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Who is in the cell and who owns what: the view of the store's `cell/` keys, this process's
-// lease and record, and the promises it gets and gives.
+// Cell membership and shard owners: the view of the store's `cell/` keys, this process's lease and
+// member record, and the promises exchanged with guardians.
 #pragma once
 
 #include "valveshelf/authority.h"
@@ -19,26 +19,26 @@
 
 namespace valveshelf {
 
-/// An entry process as its record in the store describes it.
+/// Member record of an entry process in the store.
 struct MemberInfo {
   std::string Name;
-  std::string Log; ///< Incarnation and name of its journal.
+  std::string Log; ///< Identifies the incarnation and names its journal.
   std::string Partner;
   std::string Zone;
   Endpoint Callers, Operators, Peers;
   bool Leaving = false;
 };
 
-/// Who owns a shard.
+/// Owner record of a shard in the store.
 struct OwnerRecord {
   uint32_t Shard = 0;
   std::string Log;
   std::string Member;
   Endpoint Peers;
-  uint64_t Epoch = 0;    ///< Grows by one with every change of owner.
+  uint64_t Epoch = 0;    ///< Incremented with every change of owner.
   bool Released = false; ///< The state is in `handover/<shard>`; nobody owns the shard.
-  std::string Successor; ///< Whom a released shard is meant for.
-  uint64_t Version = 0;  ///< Of the store's value.
+  std::string Successor; ///< Journal of the member a released shard is meant for.
+  uint64_t Version = 0;  ///< Version of the store's key.
 };
 
 std::string encodeMember(const MemberInfo &Value);
@@ -46,14 +46,14 @@
 Result<MemberInfo> decodeMember(const std::string &Text);
 Result<OwnerRecord> decodeOwner(const std::string &Text);
 
-/// Keys of the store.
+/// Store keys.
 std::string memberKey(const std::string &Name);
 std::string ownerKey(uint32_t Shard);
 std::string handoverKey(uint32_t Shard);
 inline constexpr std::string_view ConfigKey = "cell/config";
 inline constexpr std::string_view ShardsKey = "cell/shards";
 
-/// What the store's `cell/` keys said last.
+/// Last known content of the store's `cell/` keys.
 struct CellView {
   std::map<std::string, MemberInfo> Members; ///< By journal.
   std::map<uint32_t, OwnerRecord> Owners;
@@ -65,26 +65,26 @@
 };
 using CellViewPtr = std::shared_ptr<const CellView>;
 
-/// The member that should own \p Shard: rendezvous hashing over the names of members that are
-/// not leaving. Rank 0 is the first choice. Null if there are fewer members.
+/// Returns the member that should own \p Shard, by rendezvous hashing over the names of members
+/// that are not leaving. Rank 0 is the first choice. Null if there are too few members.
 const MemberInfo *preferredOwner(const CellView &View, uint32_t Shard, size_t Rank = 0);
 
-/// Keeps a CellView current with one waiting watch. Safe from any thread.
+/// Keeps a CellView current with a long-polling watch. Safe from any thread.
 class CellWatch {
 public:
   CellWatch(StoreOps Store, Clock Time);
-  /// Reads everything once.
+  /// Reads all `cell/` keys once.
   Awaitable<Result<Done>> load();
-  /// Watches for ever.
+  /// Applies changes from the watch; does not return.
   Awaitable<void> run();
   CellViewPtr view() const;
   /// \p Changed is called after each change. Set before `run`.
   void onChange(std::function<void()> Changed);
-  /// Nothing listens at the address of incarnation \p Log any more, so its process is gone. It is
-  /// left out of the view from now on; incarnations never come back.
+  /// Records that nothing listens at the address of incarnation \p Log any more, so its process is
+  /// gone. Removes it from the view permanently; an incarnation never returns.
   void markGone(const std::string &Log);
   bool provenGone(const std::string &Log) const;
-  /// Takes in what this process itself wrote, without waiting for the watch.
+  /// Applies this process's own write without waiting for the watch.
   void applyLocalWrite(const StoreItem &Item);
 
 private:
@@ -94,16 +94,16 @@
   const Clock Time;
   std::function<void()> Changed;
   mutable std::mutex Mutex;
-  CellViewPtr Current;                    ///< Guarded by Mutex; what it points to never changes.
+  CellViewPtr Current;                    ///< Guarded by Mutex; the view itself is immutable.
   std::set<std::string> GoneIncarnations; ///< Incarnations proven gone. Guarded by Mutex.
 };
 
-/// The authority and the promises given, under one lock.
+/// This process's authority as an owner and its promises as a guardian, under one lock.
 struct SharedAuthority {
   std::mutex Mutex;
   Authority Own;                                                    ///< Guarded by Mutex.
   GuardianState GivenPromises;                                      ///< Guarded by Mutex.
-  std::map<std::string, std::vector<wire::JournalEntry>> Witnessed; ///< By ward. Guarded by Mutex.
+  std::map<std::string, std::vector<wire::JournalEntry>> Witnessed; ///< By owner. Guarded by Mutex.
 
   bool mayActAt(TimePoint Now) {
     std::lock_guard Lock(Mutex);
@@ -111,21 +111,22 @@
   }
 };
 
-/// Takes out and renews this process's lease, and keeps its record under it.
+/// Acquires and renews this process's lease, and keeps its member record attached to it.
 class LeaseKeeper {
 public:
   LeaseKeeper(StoreOps Store, Clock Time, valveshelf::Timing Times, double WritesPerSecond,
               MemberInfo Self, SharedAuthority &Shared, Journal &Log, CellWatch &Watch);
-  /// Waits until the store granted a lease and took the record. Conflict: the name is taken by a
-  /// living process at another address.
+  /// Retries until the lease is granted and the member record written. Returns Conflict if a
+  /// process at another address uses the name, NotOwner if the journal is sealed, Stopping after
+  /// `stop`.
   Awaitable<Result<Done>> join();
   Awaitable<void> run();
-  /// Marks the record as leaving.
+  /// Marks the member record as leaving.
   Awaitable<void> announceLeaving();
-  /// Gives the lease back.
+  /// Stops renewal and revokes the lease.
   Awaitable<void> leave();
   void stop();
-  /// The life of a lease in a cell of that many members.
+  /// TTL of a lease in a cell of \p Members members.
   Milliseconds leaseTtl(size_t Members) const;
 
 private:
@@ -145,16 +146,16 @@
   std::atomic<bool> Stopped{false};
 };
 
-/// Gets this process's promises renewed and answers those who ask it for theirs.
+/// Renews the promises this process has from its guardians, and serves as guardian for others.
 class PromiseKeeper {
 public:
   PromiseKeeper(PeerOps Peers, Clock Time, valveshelf::Timing Times, MemberInfo Self,
                 SharedAuthority &Shared, CellWatch &Watch);
-  /// The journal can't be known at construction, since it needs this object as its witness.
+  /// Sets the journal, which can't be a constructor argument since it uses this object as witness.
   void attach(Journal &Log);
   Awaitable<void> run();
   void stop();
-  /// Hands \p Entries to every guardian; true if all have them and promise.
+  /// Sends \p Entries to every guardian; true if all hold them and renewed their promise.
   Awaitable<bool> witness(std::vector<wire::JournalEntry> Entries);
 
   wire::PromiseReply onPromiseAsked(const wire::PromiseRequest &Request);
@@ -173,8 +174,8 @@
   Journal *Log = nullptr;
   const TimePoint StartedAt;
   std::mutex Mutex;
-  std::map<std::string, Endpoint> Addresses;  ///< Of all recorded guardians. Guarded by Mutex.
-  std::vector<std::string> RecordedGuardians; ///< The set last durable. Guarded by Mutex.
+  std::map<std::string, Endpoint> Addresses;  ///< Recorded and pending. Guarded by Mutex.
+  std::vector<std::string> RecordedGuardians; ///< Last stored set. Guarded by Mutex.
   bool GuardianUpdatePending = false;         ///< Guarded by Mutex.
   std::atomic<bool> Stopped{false};
 };
