--- a/src/include/valveshelf/ownership.h
+++ b/src/include/valveshelf/ownership.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Which shards this process owns: claims after deaths, hand-overs to joiners and in planned
-// stops, and the snapshots that keep the journal short.
+// Shard ownership of this process: takeover after another owner fails, handover to joining
+// members and at planned shutdown, and the snapshots that keep the journal short.
 #pragma once
 
 #include "valveshelf/shard_runner.h"
@@ -14,29 +14,30 @@
 
 namespace valveshelf {
 
-/// Safe from any thread.
+/// Claims, releases and snapshots the shards of this process. Safe from any thread.
 class Ownership {
 public:
-  /// \p Tools is what each shard runner gets. \p Promises answers for this process as a guardian.
+  /// \p Tools is passed to each shard runner. \p Promises answers requests to this process as a
+  /// guardian and must outlive this object.
   Ownership(ShardTools Tools, MemberInfo Self, PromiseKeeper &Promises);
 
   /// The runner of an owned shard, or null.
   std::shared_ptr<ShardRunner> find(uint32_t Shard) const;
   std::vector<std::shared_ptr<ShardRunner>> all() const;
 
-  /// Claims, hands over and snapshots until `stop`.
+  /// Claims shards, hands them over and takes snapshots until `stop`.
   Awaitable<void> run();
-  /// Looks at the view again soon.
+  /// Makes `run` compare ownership with the cell view without waiting for the poll interval.
   void wake();
-  /// Hands every shard to its next owner. Returns how many could not be handed over.
+  /// Hands every shard to its next owner. Returns the number that could not be handed over.
   Awaitable<size_t> releaseAll();
-  /// Ends everything at once; after a fence.
+  /// Stops `run` and all runners immediately, without handing over; used after fencing.
   void stop();
-  /// Starts that were handed to the network and not answered, over all runners ever had.
+  /// Number of start requests sent and not yet answered, over all current runners.
   int startsInFlight() const;
-  /// Seals this process's own journal and erases it; after `releaseAll` left nothing.
+  /// Seals this process's own journal and erases it. Call only after `releaseAll` returned 0.
   Awaitable<void> eraseJournal();
-  /// How many shards were claimed and released here.
+  /// Number of shards this process has claimed.
   uint64_t claims() const { return Claims; }
 
 private:
@@ -63,10 +64,10 @@
   mutable std::mutex Mutex;
   // All below is guarded by Mutex.
   std::map<uint32_t, std::shared_ptr<ShardRunner>> Runners;
-  std::map<uint32_t, TimePoint> OwnerlessSince; ///< Of shards whose owner is not a member.
-  std::map<uint32_t, TimePoint> MisplacedSince; ///< Of own shards that another should own.
+  std::map<uint32_t, TimePoint> OwnerlessSince; ///< Shards whose owner is not a member.
+  std::map<uint32_t, TimePoint> MisplacedSince; ///< Own shards another member should own.
   std::map<std::string, TimePoint> SealedSince; ///< Journals sealed here and not yet erased: when
-                                                ///< an owner record named them last.
+                                                ///< an owner record last named them.
 };
 
 } // namespace valveshelf
