--- a/src/membership/cell_watch.cpp
+++ b/src/membership/cell_watch.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The view of the cell, kept current by one waiting watch.
+// Keeps the cell view current with a long-polling store watch.
 #include "valveshelf/membership.h"
 
 #include <boost/asio.hpp>
@@ -33,7 +33,7 @@
   if (!ok(Owner))
     return;
   OwnerRecord &Known = View.Owners[value(Owner).Shard];
-  // What this process noted of its own writes may be newer than an answer on its way.
+  // A local write that was already applied may be newer than this item.
   if (Item.Version < Known.Version)
     return;
   Known = value(Owner);
@@ -114,7 +114,7 @@
     const uint64_t After = view()->Revision;
     Result<StoreItems> Changes = co_await Store.Watch("cell/", After, WatchWait);
     if (ok(Changes)) {
-      // A store that restarted counts anew, or has forgotten what came between.
+      // A lower revision means that the store restarted or lost history: read all keys again.
       if (value(Changes).Revision < After)
         co_await load();
       else
