--- a/src/membership/lease_keeper.cpp
+++ b/src/membership/lease_keeper.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// This process's lease in the store, and its record under it.
+// Acquires and renews this process's store lease and the member record attached to it.
 #include "valveshelf/events.h"
 #include "valveshelf/membership.h"
 
@@ -10,7 +10,7 @@
 namespace valveshelf {
 namespace {
 constexpr Milliseconds RetryPause{200};
-// Part of the store's writes that all renewals together may take.
+// Fraction of the store's write rate that the renewals of all members may use.
 constexpr double RenewalShare = 0.25;
 constexpr int RenewalsPerTtl = 3;
 } // namespace
@@ -55,18 +55,18 @@
     const Result<MemberInfo> Other = decodeMember(value(Existing).Value);
     if (ok(Other) && value(Other).Peers != Self.Peers)
       co_return Error{ErrorKind::Conflict,
-                      "the name " + Self.Name + " is in use at " + toString(value(Other).Peers)};
+                      "member name " + Self.Name + " is in use at " + toString(value(Other).Peers)};
   }
   Result<uint64_t> Put = co_await writeRecord();
   if (!ok(Put))
     co_return error(Put);
   RecordVersion = value(Put);
   Watch.applyLocalWrite({memberKey(Self.Name), encodeMember(Self), RecordVersion});
-  // A claimant may have read the journal while the lease was away. Its seal fails once this
-  // entry is there; only then does the new lease carry authority.
+  // A claimant may have read the journal while there was no lease. Its seal fails once this entry
+  // is stored; only then may the new lease grant authority.
   const Durability Resumed = co_await Log.barrier();
   if (Resumed != Durability::Stored)
-    co_return Error{ErrorKind::NotOwner, "the journal is sealed"};
+    co_return Error{ErrorKind::NotOwner, "the journal of this process is sealed"};
   std::lock_guard Lock(Shared.Mutex);
   onLeaseRenewed(Shared.Own, SentAt, Ttl, Times.Margin);
   co_return Done{};
@@ -84,7 +84,7 @@
       co_return error(Acquired);
     co_await sleepFor(RetryPause);
   }
-  co_return Error{ErrorKind::Stopping, "stopped before it joined"};
+  co_return Error{ErrorKind::Stopping, "stopped before joining the cell"};
 }
 
 Awaitable<void> LeaseKeeper::run() {
