--- a/src/membership/peer_link.cpp
+++ b/src/membership/peer_link.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The inner protocol over gRPC's callback interface, joined to coroutines.
+// Peer protocol over gRPC's callback API, adapted to coroutines. Used by entry processes.
 #include "valveshelf/peer_link.h"
 #include "valveshelf/steady_timer.h"
 
@@ -17,7 +17,7 @@
 
 using Stub = wire::Peer::Stub;
 
-// Channels by address. A channel reconnects by itself.
+// Stubs by address. Their channels reconnect automatically.
 class StubPool {
 public:
   std::shared_ptr<Stub> at(const Endpoint &Address) {
@@ -26,7 +26,7 @@
     if (Found)
       return Found;
     grpc::ChannelArguments Arguments;
-    // A peer that restarts must be found again within a gossip round or two.
+    // Short backoff, so that a restarted peer is reachable again within two gossip rounds.
     Arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 50);
     Arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, 50);
     Arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 500);
@@ -104,7 +104,6 @@
 PeerOps makeGrpcPeerOps(Executor Where, Milliseconds Timeout) {
   auto Pool = std::make_shared<StubPool>();
   PeerOps Ops;
-  // One line a method; the template does the rest.
 #define VALVESHELF_PEER_CALL(Method)                                                               \
   Ops.Method = [Where, Pool, Timeout](Endpoint To, wire::Method##Request Message) {                \
     return call<wire::Method##Request, wire::Method##Reply>(                                       \
@@ -148,7 +147,8 @@
     Builder.RegisterService(this);
     Server = Builder.BuildAndStart();
     if (!Server || Port == 0)
-      return Error{ErrorKind::BadSettings, "can't listen on " + toString(Address) + " for peers"};
+      return Error{ErrorKind::BadSettings,
+                   "cannot listen on " + toString(Address) + " for peer connections"};
     return Done{};
   }
 
@@ -178,7 +178,8 @@
     asio::co_spawn(Where, Handle(std::move(Message)),
                    [Reactor, Answer](std::exception_ptr Fault, Reply Value) {
                      if (Fault)
-                       return Reactor->Finish({grpc::StatusCode::INTERNAL, "fault in the handler"});
+                       return Reactor->Finish(
+                           {grpc::StatusCode::INTERNAL, "exception in the request handler"});
                      *Answer = std::move(Value);
                      Reactor->Finish(grpc::Status::OK);
                    });
