--- a/src/membership/promise_keeper.cpp
+++ b/src/membership/promise_keeper.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Promises: asked for by the owner's side, given and refused by the guardian's side.
+// Requests promises as an owner, and grants or refuses them as a guardian.
 #include "valveshelf/events.h"
 #include "valveshelf/membership.h"
 #include "valveshelf/steady_timer.h"
@@ -14,7 +14,8 @@
 namespace {
 constexpr size_t MaxGuardians = 3;
 constexpr size_t MaxWitnessedEntries = 4096;
-// A ward that has not reached the store for so long asks to be relieved of its shards.
+// After a store outage of this length, an owner reports itself as cut off, so that guardians may
+// let others claim its shards.
 constexpr Milliseconds CutOffAfter{10000};
 } // namespace
 
@@ -26,8 +27,8 @@
 void PromiseKeeper::attach(Journal &Journal) { Log = &Journal; }
 void PromiseKeeper::stop() { Stopped = true; }
 
-// Chooses guardians from the view and records a changed set. While the record is on its way,
-// the promises of the old and the new set are needed.
+// Chooses guardians from the view and records a changed set. Until the record is stored, promises
+// of both the old and the new set are required.
 void PromiseKeeper::updateGuardians() {
   const CellViewPtr View = Watch.view();
   std::map<std::string, std::string> Zones;
@@ -143,7 +144,7 @@
 
 wire::PromiseReply PromiseKeeper::onPromiseAsked(const wire::PromiseRequest &Request) {
   wire::PromiseReply Reply;
-  // A promise binds an incarnation: what an earlier process at this address refused is not
+  // A promise is bound to an incarnation: refusals by an earlier process at this address are not
   // known here.
   if (Request.guardian() != Self.Log)
     return Reply;
@@ -175,8 +176,8 @@
   wire::RefuseReply Reply;
   const TimePoint Now = Time.Now();
   if (Request.guardian() != Self.Log) {
-    // The incarnation asked for is gone and promises nothing more; its last promise may still
-    // run for as long as this process has lived less than one promise.
+    // The requested incarnation is gone and gives no further promises. Its last promise may still
+    // be valid until this process has been up for the duration of one promise.
     const auto Uptime = std::chrono::duration_cast<Milliseconds>(Now - StartedAt);
     Reply.set_refused(true);
     Reply.set_gone(true);
@@ -188,7 +189,8 @@
       refuse(Shared.GivenPromises, Request.log(), Log->storeUp(), Times.Promise, Now);
   Reply.set_refused(Answer.Agreed);
   Reply.set_wait_ms(Answer.Wait.count());
-  // Also without agreement: another guardian may be gone, and then this one is asked what it has.
+  // Returned even without a refusal: a claimant needs only the entries if the owner is proven gone
+  // or another guardian has refused.
   const auto Held = Shared.Witnessed.find(Request.log());
   if (Held != Shared.Witnessed.end())
     for (const wire::JournalEntry &Entry : Held->second)
