--- a/src/membership/records.cpp
+++ b/src/membership/records.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The store's `cell/` records as JSON, and the choice of a shard's owner.
+// JSON encoding of the store's `cell/` records, and the choice of a shard's preferred owner.
 #include "valveshelf/membership.h"
 
 #include <boost/json.hpp>
@@ -26,7 +26,7 @@
     return Read(Root.as_object());
   } catch (const std::exception &E) {
     return Error{ErrorKind::Internal,
-                 std::string("a record of the cell can't be read: ") + E.what()};
+                 std::string("cannot parse a member or owner record: ") + E.what()};
   }
 }
 
