--- a/src/ownership/authority.cpp
+++ b/src/ownership/authority.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Leases, promises and refusals.
+// State transitions of leases, promises and refusals.
 #include "valveshelf/authority.h"
 
 #include <xxhash.h>
@@ -26,7 +26,7 @@
 }
 
 void onLeaseRenewed(Authority &Value, TimePoint SentAt, Milliseconds Ttl, Milliseconds Margin) {
-  // Counted from before the renewal was sent: the store's own count began later.
+  // Measured from when the renewal was sent: the store's lease started later.
   Value.LeaseUntil = std::max(Value.LeaseUntil, SentAt + Ttl - Margin);
 }
 
@@ -80,7 +80,7 @@
   std::sort(Candidates.begin(), Candidates.end(), [](const Candidate &A, const Candidate &B) {
     return std::tie(A.SameZone, A.Rank, A.Name) < std::tie(B.SameZone, B.Rank, B.Name);
   });
-  // One of each zone first, then the rest in the same order.
+  // One of each availability zone first, then the rest in the same order.
   std::vector<std::string> Chosen;
   std::set<std::string> Zones;
   for (const Candidate &C : Candidates)
