--- a/src/ownership/fence.cpp
+++ b/src/ownership/fence.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The claimant's side of ownership. The order of the steps is what makes taking and extending
-// exclude each other; see valveshelf/authority.h.
+// Fencing by a claimant. The order of the steps ensures that a takeover and an extension of the
+// owner's authority cannot both succeed; see valveshelf/authority.h.
 #include "valveshelf/fence.h"
 
 #include "valveshelf/membership.h"
@@ -10,11 +10,11 @@
 namespace valveshelf {
 namespace {
 
-// What a guardian says to the claimant.
+// A guardian's answer to a claimant, or the result of probing it.
 struct GuardianAnswer {
   bool Gone = false;     ///< The incarnation that promised is proven gone.
-  bool Answered = false; ///< The incarnation that promised answered itself.
-  bool Refused = false;  ///< It gives no more promises.
+  bool Answered = false; ///< The incarnation that promised has answered.
+  bool Refused = false;  ///< The guardian gives no further promises.
   Milliseconds Wait{0};
   std::vector<wire::JournalEntry> Held;
 };
@@ -26,7 +26,7 @@
   for (const StoreItem &Item : value(Members).Items) {
     const Result<MemberInfo> Member = decodeMember(Item.Value);
     if (ok(Member) && value(Member).Log == LogId)
-      co_return Error{ErrorKind::Conflict, LogId + " has its lease"};
+      co_return Error{ErrorKind::Conflict, LogId + " still has its lease"};
   }
   co_return Done{};
 }
@@ -61,7 +61,7 @@
   co_return Answer;
 }
 
-// Gets one guardian to refuse, and waits its last promise out.
+// Gets one guardian to refuse, and waits until its last promise has expired.
 Awaitable<Result<Done>> waitForRefusal(const FenceTools &Tools, std::string LogId,
                                        const std::vector<wire::Guardian> &Guardians) {
   for (const wire::Guardian &Guardian : Guardians) {
@@ -71,11 +71,11 @@
     co_await sleepFor(Answer.Wait + Tools.Margin);
     co_return Done{};
   }
-  co_return Error{ErrorKind::Conflict, "no guardian refused " + LogId};
+  co_return Error{ErrorKind::Conflict, "no guardian refused further promises to " + LogId};
 }
 
-// Gathers what the owner could not store, after it can add nothing more. Every guardian holds
-// all of it, so one that answers is enough; as long as one may be alive, it has to be heard.
+// Collects the entries that the owner could not store, once it can add no more. Every guardian
+// holds all of them, so one answer is enough. Fails if no guardian answers and one may be alive.
 Awaitable<Result<std::vector<wire::JournalEntry>>>
 collectWitnessed(const FenceTools &Tools, std::string LogId,
                  const std::vector<wire::Guardian> &Guardians) {
@@ -87,7 +87,8 @@
     AllGone = AllGone && Answer.Gone;
   }
   if (!AllGone)
-    co_return Error{ErrorKind::Conflict, "a guardian of " + LogId + " can't be heard"};
+    co_return Error{ErrorKind::Conflict,
+                    "no guardian of " + LogId + " answered, and not all are proven gone"};
   co_return std::vector<wire::JournalEntry>{};
 }
 
@@ -99,14 +100,14 @@
     co_return error(View);
   if (value(View).Sealed)
     co_return Done{};
-  // A process that is gone sends nothing, whatever its lease and its promises say.
+  // A process that is gone cannot act, even if its lease and promises have not expired.
   const bool Gone = Tools.ProvenGone(LogId);
   if (!Gone) {
     Result<Done> Lapsed = co_await checkLeaseLapsed(Tools.Store, LogId);
     if (!ok(Lapsed))
       co_return Lapsed;
   }
-  // An owner without guardians never had more than its lease.
+  // Without guardians, the owner's authority came from its lease alone.
   std::vector<wire::JournalEntry> Held;
   const std::vector<wire::Guardian> Guardians = value(View).Guardians;
   if (!Guardians.empty()) {
