--- a/src/ownership/fence_test.cpp
+++ b/src/ownership/fence_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Claims against owners that live, are gone, or left records with their guardians.
+// Tests fencing of owners that are alive, gone, or have records held only by guardians.
 #include "valveshelf/fence.h"
 
 #include "fakes/fake_store.h"
@@ -30,7 +30,7 @@
   return Record;
 }
 
-// Runs one coroutine to its end.
+// Runs one coroutine to completion.
 template <class T> T runOne(asio::io_context &Io, Awaitable<T> Task) {
   std::optional<T> Out;
   asio::co_spawn(Io, std::move(Task), [&](std::exception_ptr Fault, T Value) {
@@ -44,7 +44,7 @@
   return *Out;
 }
 
-// An owner that wrote two entries and then lost the store.
+// An owner with two guardians and one stored record, and a claimant for its journal.
 class FenceTest : public ::testing::Test {
 protected:
   FenceTest()
@@ -111,8 +111,8 @@
 };
 
 TEST_F(FenceTest, GoneGuardianDoesNotHideRecordsOfAnother) {
-  // scripts/faults --seed 7 found this: the first guardian had restarted, and its "gone" was
-  // taken for "holds nothing".
+  // The first guardian restarted and answers that the requested incarnation is gone. That must not
+  // be taken to mean that no records are held.
   Replies[First] = reply(true, true, {});
   Replies[Second] = reply(true, false, {held("witnessed", 1)});
   EXPECT_TRUE(ok(runOne(Io, fenceJournal(Tools, "owner.1"))));
@@ -154,7 +154,8 @@
 TEST_F(FenceTest, OwnerThatWritesDuringTheClaimKeepsItsJournal) {
   Replies[First] = reply(true, false, {});
   OnAsk = [this] {
-    // The owner got its lease back and wrote, as it does before it counts on the lease.
+    // The owner regained its lease and wrote to its journal, as it does before it relies on the
+    // lease.
     OnAsk = {};
     wire::JournalEntry Resume;
     Resume.set_log("owner.1");
