--- a/src/ownership/journal.cpp
+++ b/src/ownership/journal.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Group commit, resolution of lost answers, witnessed entries and the seal.
+// Group commit, resolution of writes with unknown outcome, witnessed entries and sealing.
 #include "valveshelf/journal.h"
 
 #include "valveshelf/events.h"
@@ -13,7 +13,7 @@
 namespace asio = boost::asio;
 namespace {
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-// The run loop looks again this often even if nothing woke it.
+// Poll interval of the run loop when nothing wakes it.
 constexpr Milliseconds IdleWait{500};
 
 std::string encode(const wire::JournalEntry &Entry) {
@@ -108,7 +108,7 @@
 }
 
 namespace {
-// Turns a callback into something a coroutine can wait for.
+// Adapts a durability callback to an awaitable.
 template <class Append> Awaitable<Durability> waitFor(Append Start, bool WitnessedIsEnough) {
   return asio::async_initiate<const asio::use_awaitable_t<> &, void(Durability)>(
       [Start, WitnessedIsEnough](auto Handler) {
@@ -152,7 +152,7 @@
   return keyOf(Log, Sequence % Limits.RingSlots);
 }
 
-// Moves pending items into \p New until it is full. A snapshot's start begins a new entry.
+// Moves pending items into \p New until it is full. A snapshot begins with a new entry.
 void Journal::fill(Unstored &New) {
   while (!Queue.empty() && New.Bytes < Limits.MaxEntryBytes && !New.Entry.seal()) {
     Pending &Item = Queue.front();
@@ -160,7 +160,7 @@
       return;
     if (Item.SnapshotBegin) {
       New.Entry.set_snapshot_begin(true);
-      // The ring forgets older entries; the newest guardians stay in sight with the snapshot.
+      // Older ring slots are overwritten, so each snapshot repeats the current guardians.
       Item.Guardians = CurrentGuardians;
     }
     if (Item.SnapshotEnd)
@@ -183,9 +183,9 @@
   }
 }
 
-// Moves pending records into one new entry. Returns false if there is nothing to move, or no
-// room. While the store answers, one entry at a time is built, so that the next takes all that
-// gathers meanwhile.
+// Moves pending records into one new entry. Returns false if there is nothing to move or no room.
+// While the store answers, only one entry exists at a time, so that the next one contains all
+// records appended during the write.
 bool Journal::buildEntry() {
   std::lock_guard Lock(Mutex);
   if (Queue.empty() || IsFenced || UnstoredBytes > Limits.MaxUnstoredBytes)
@@ -203,7 +203,7 @@
   return true;
 }
 
-// Takes the entry behind \p Front in, if one entry can hold both.
+// Merges the next entry into \p Front if one entry can hold both.
 bool Journal::mergeNext(Unstored &Front) {
   if (UnstoredEntries.empty() || Front.Bytes >= Limits.MaxEntryBytes || Front.Entry.seal())
     return false;
@@ -223,13 +223,13 @@
   return true;
 }
 
-// Makes the oldest entry final before its first way to the store: takes in the entries that
-// gathered behind it in an outage, and gives it its sequence.
+// Finalizes the oldest entry before its first write to the store: merges the entries built during
+// an outage into it and assigns its sequence.
 void Journal::prepareFront() {
   if (UnstoredEntries.front().Attempted)
     return;
-  // Out of the queue while others are taken from it: a reference into a deque does not outlive
-  // that. The journal lost records written in an outage, and reports waited for them for good.
+  // Moved out of the deque because mergeNext removes elements, which would invalidate a reference
+  // to the front and lose the merged records and their callbacks.
   Unstored Front = std::move(UnstoredEntries.front());
   UnstoredEntries.pop_front();
   while (mergeNext(Front)) {
@@ -325,8 +325,8 @@
   return Found.log() == Log && Found.writer() == Log && Found.sequence() == Entry.sequence();
 }
 
-// Finds out what became of a write without a certain answer. True: the entry is in the store
-// or the journal is fenced, and the state says which; false: it is surely not there.
+// Determines the result of a write with unknown outcome. Returns true if the entry is stored or the
+// journal is fenced, with the state updated accordingly; false if the entry was not written.
 Awaitable<bool> Journal::resolveUnknownOutcome(const std::string &Key,
                                                const wire::JournalEntry &Entry, uint64_t Expect) {
   while (true) {
@@ -351,7 +351,7 @@
   }
 }
 
-// Tries once to store the oldest entry. Returns false if it has to be tried again.
+// Tries once to store the oldest entry. Returns false if the write must be retried.
 Awaitable<bool> Journal::writeFront() {
   wire::JournalEntry Entry;
   uint64_t Expect = 0;
@@ -376,7 +376,7 @@
   co_return co_await resolveUnknownOutcome(Key, Entry, Expect);
 }
 
-// While the store is down, gives new entries to the guardians instead.
+// While the store is down, sends new entries to the guardians instead.
 Awaitable<void> Journal::witnessAll() {
   if (storeUp())
     co_return;
@@ -447,12 +447,12 @@
   for (const StoreItem &Item : value(Listed).Items) {
     wire::JournalEntry Entry;
     if (!decode(Item.Value, Entry))
-      co_return Error{ErrorKind::Internal, "journal entry " + Item.Key + " can't be read"};
+      co_return Error{ErrorKind::Internal, "journal entry " + Item.Key + " cannot be parsed"};
     Versions[Item.Key] = Item.Version;
     BySequence[Entry.sequence()] = std::move(Entry);
   }
   if (BySequence.empty())
-    co_return Error{ErrorKind::NotFound, "there is no journal " + LogId};
+    co_return Error{ErrorKind::NotFound, "no entries found for journal " + LogId};
   const wire::JournalEntry &Last = BySequence.rbegin()->second;
   JournalView View;
   View.NextSequence = Last.sequence() + 1;
@@ -483,7 +483,7 @@
   Seal.set_first_record(View.NextRecord);
   uint64_t Next = View.NextRecord;
   for (const wire::JournalEntry &Entry : Witnessed) {
-    // Records that the store took after the guardian heard of them are passed over.
+    // Skips records that were stored after the guardian received them.
     for (int I = 0; I < Entry.record_size(); ++I)
       if (Entry.first_record() + I == Next) {
         *Seal.add_record() = Entry.record(I);
@@ -496,7 +496,7 @@
     co_return Done{};
   if (error(Put).Kind != ErrorKind::OutcomeUnknown)
     co_return error(Put);
-  // The answer was lost: the slot itself says whether the seal is there.
+  // The outcome is unknown: read the slot to see whether the seal was written.
   Result<StoreItem> Got = co_await Store.Get(Key);
   if (!ok(Got))
     co_return error(Got);
@@ -504,7 +504,8 @@
   if (decode(value(Got).Value, Found) && Found.seal() && Found.writer() == Claimant &&
       Found.sequence() == Seal.sequence())
     co_return Done{};
-  co_return Error{ErrorKind::Conflict, "the journal " + LogId + " was written meanwhile"};
+  co_return Error{ErrorKind::Conflict,
+                  "another process wrote to journal " + LogId + " before it was sealed"};
 }
 
 std::vector<wire::Record> recordsOf(const JournalView &View, uint32_t Shard) {
