--- a/src/ownership/journal_test.cpp
+++ b/src/ownership/journal_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What an outage of the store leaves to be written, and who waits for it.
+// Tests that records appended during a store outage are stored afterwards and their callbacks run.
 #include "valveshelf/journal.h"
 
 #include "fakes/fake_store.h"
@@ -13,7 +13,7 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-// A journal whose guardians take everything, with short pauses.
+// A journal whose guardians accept all entries, with short retry pauses.
 class JournalTest : public ::testing::Test {
 protected:
   JournalTest()
@@ -30,7 +30,7 @@
     return Limits;
   }
 
-  // Runs what there is to do until the condition holds; false: it never did.
+  // Runs the context until the condition holds. Returns false on timeout.
   template <class Condition> bool runUntil(Condition Holds, Milliseconds Most = 2s) {
     const TimePoint Until = Steady::now() + Most;
     while (!Holds() && Steady::now() < Until)
@@ -46,7 +46,7 @@
     Log.append({Record}, [this, Job](Durability Value) { Outcomes[Job].push_back(Value); });
   }
 
-  // Appends a record in the outage; the guardians have it alone, as an entry.
+  // Appends a record during an outage and waits until the guardians hold it as an entry of its own.
   void appendWitnessed(const std::string &Job) {
     append(Job);
     ASSERT_TRUE(runUntil([&] { return !Outcomes[Job].empty(); })) << Job;
@@ -81,15 +81,8 @@
   std::map<std::string, std::vector<Durability>> Outcomes;
 };
 
-// A process was cut from the store for 11 s and went on by its guardians' promises. Afterwards 15
-// ends of its shard were never told to the jobs' homes, and their jobs never ended. It said of that
-//   valveshelf_ends_unreported 15
-//   valveshelf_reports_wait_for_journal_seconds 63.888
-//   valveshelf_store_up 1
-// What gathers in an outage is merged into its first entry before that is written. The first was
-// held by a reference while the second was taken out of the queue; with four entries or more that
-// moves the first instead, so that the others were merged into an object that was gone: their
-// records were lost, and the callbacks that reports wait for.
+// Entries built during an outage are merged into the first one. Merging four or more must not
+// invalidate the first, which would lose their records and the callbacks that reports wait for.
 TEST_F(JournalTest, StoresAllRecordsAppendedDuringOutage) {
   append("before");
   ASSERT_TRUE(runUntil([&] { return allStored(); }));
