--- a/src/ownership/ownership.cpp
+++ b/src/ownership/ownership.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Claims, hand-overs and garbage.
+// Claims and hands over shards, takes snapshots, and erases sealed journals that are unused.
 #include "valveshelf/ownership.h"
 
 #include "valveshelf/events.h"
@@ -16,9 +16,9 @@
 namespace {
 constexpr uint32_t RingSlots = JournalLimits{}.RingSlots;
 constexpr Milliseconds PollInterval{500};
-// How long each further candidate waits for the one before it to claim.
+// Delay before the candidate of the next rank may claim.
 constexpr Milliseconds ClaimDelayPerRank{1500};
-// A shard moves to its preferred owner only after the view was stable for so long.
+// A shard moves only after another member was its preferred owner for this long.
 constexpr Milliseconds RebalanceDelay{2000};
 constexpr Milliseconds SealedJournalRetention{60000};
 constexpr size_t MaxHandoverBytes = 900 * 1024;
@@ -35,7 +35,7 @@
 Result<std::vector<wire::Record>> decodeRecords(const std::string &Json) {
   wire::JournalEntry Entry;
   if (!google::protobuf::util::JsonStringToMessage(Json, &Entry).ok())
-    return Error{ErrorKind::Internal, "a handed-over shard can't be read"};
+    return Error{ErrorKind::Internal, "cannot parse the state of a handed-over shard"};
   return std::vector<wire::Record>(Entry.record().begin(), Entry.record().end());
 }
 } // namespace
@@ -84,7 +84,8 @@
   }
 }
 
-// One look at the view: claims what this process should own, gives up what another should.
+// Compares ownership with the cell view once: claims shards that this process should own and
+// releases shards that another member should own.
 Awaitable<void> Ownership::reconcile() {
   const CellViewPtr View = Tools.Watch.view();
   const TimePoint Now = Tools.Time.Now();
@@ -118,7 +119,7 @@
       std::lock_guard Lock(Mutex);
       Since = OwnerlessSince.emplace(Shard, Now).first->second;
     }
-    // Later candidates step in one by one if those before them do not.
+    // Candidates of higher rank may claim if those before them have not done so.
     const auto Rank = static_cast<size_t>((Now - Since) / ClaimDelayPerRank);
     bool Candidate = Known && Found->second.Released && Found->second.Successor == Self.Log;
     for (size_t R = 0; R <= Rank && !Candidate; ++R) {
@@ -150,7 +151,7 @@
   Result<JournalView> View = co_await readJournal(Tools.Store, Old.Log, RingSlots);
   if (!ok(View) || !value(View).Sealed)
     co_return;
-  // The record may have changed while the journal was sealed.
+  // The owner record may have changed while the journal was being sealed.
   Result<StoreItem> Current = co_await Tools.Store.Get(ownerKey(Shard));
   if (!ok(Current) || value(Current).Version != Old.Version)
     co_return;
@@ -171,11 +172,11 @@
   Result<std::vector<wire::Record>> Records = decodeRecords(value(State).Value);
   if (!ok(Records))
     co_return;
-  // The old owner had no start in flight when it let go.
+  // The previous owner had no start request in flight when it released the shard.
   co_await takeOver(Old, std::move(value(Records)), true);
 }
 
-// Makes sure that the process of journal \p LogId can act no more. True once it is sealed.
+// Fences the process of journal \p LogId. Returns true once the journal is sealed.
 Awaitable<bool> Ownership::fence(std::string LogId) {
   FenceTools Fence;
   Fence.Store = Tools.Store;
@@ -221,7 +222,7 @@
   co_return Put;
 }
 
-// Writes the state into this process's own journal, then the record that makes it the owner.
+// Writes the shard's state to this process's journal, then the owner record that claims it.
 Awaitable<void> Ownership::takeOver(OwnerRecord Old, std::vector<wire::Record> Records,
                                     bool PredecessorGone) {
   auto Runner = std::make_shared<ShardRunner>(Old.Shard, Old.Epoch + 1, Tools);
@@ -236,7 +237,7 @@
   Mine.Peers = Self.Peers;
   Mine.Epoch = Old.Epoch + 1;
   {
-    // Before the record, so that a snapshot meanwhile does not leave the shard out.
+    // Registered before the owner record is written, so that a concurrent snapshot includes it.
     std::lock_guard Lock(Mutex);
     Runners[Old.Shard] = Runner;
   }
@@ -258,7 +259,7 @@
                                   {"from", Old.Log.empty() ? "nobody" : Old.Log}});
 }
 
-// Hands one shard over: stop placing, settle what is in flight, leave the state in the store.
+// Hands one shard over: drains it, writes its state to the store and marks it released.
 Awaitable<bool> Ownership::release(std::shared_ptr<ShardRunner> Runner, std::string Successor) {
   if (!Tools.Log.storeUp())
     co_return false;
@@ -281,7 +282,7 @@
   OwnerRecord Record = Found->second;
   Record.Released = true;
   Record.Successor = std::move(Successor);
-  // Nothing may be sent once the record can be read.
+  // No start request may be sent once another process can read the release.
   Runner->stop();
   Result<uint64_t> Put = co_await writeOwner(Record, Found->second.Version);
   {
@@ -326,7 +327,7 @@
 
 Awaitable<void> Ownership::snapshot() {
   Tools.Log.beginSnapshot();
-  // Each shard is written down under its own lock; together they may be many megabytes.
+  // Shards are serialized in parallel, each under its own lock: all may be many megabytes.
   const std::vector<std::shared_ptr<ShardRunner>> Runners = all();
   tbb::parallel_for_each(
       Runners, [](const std::shared_ptr<ShardRunner> &Runner) { Runner->appendSnapshot({}); });
@@ -334,7 +335,7 @@
   co_await Tools.Log.barrier();
 }
 
-// Erases journals that were sealed here once no owner record names them any more.
+// Erases journals sealed by this process that no owner record has named for the retention period.
 Awaitable<void> Ownership::collectGarbage() {
   const CellViewPtr View = Tools.Watch.view();
   const TimePoint Now = Tools.Time.Now();
