--- a/src/membership/promise_keeper.cpp
+++ b/src/membership/promise_keeper.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Promises: asked for by the owner's side, given and refused by the guardian's side.
+// Requests promises as an owner, and grants or refuses them as a guardian.
 #include "valveshelf/events.h"
 #include "valveshelf/membership.h"
 #include "valveshelf/steady_timer.h"
@@ -12,36 +12,36 @@
 namespace valveshelf {
 namespace asio = boost::asio;
 namespace {
-constexpr size_t MostGuardians = 3;
-constexpr size_t MostWitnessedEntries = 4096;
-// A ward that has not reached the store for so long asks to be relieved of its shards.
+constexpr size_t MaxGuardians = 3;
+constexpr size_t MaxWitnessedEntries = 4096;
+// After a store outage of this length, an owner reports itself as cut off, so that guardians may
+// let others claim its shards.
 constexpr Milliseconds CutOffAfter{10000};
 } // namespace
 
 PromiseKeeper::PromiseKeeper(PeerOps Peers, Clock Time, valveshelf::Timing Times, MemberInfo Self,
                              SharedAuthority &Shared, CellWatch &Watch)
     : Peers(std::move(Peers)), Time(std::move(Time)), Times(Times), Self(std::move(Self)),
-      Shared(Shared), Watch(Watch), Born(this->Time.Now()) {}
+      Shared(Shared), Watch(Watch), StartedAt(this->Time.Now()) {}
 
 void PromiseKeeper::attach(Journal &Journal) { Log = &Journal; }
 void PromiseKeeper::stop() { Stopped = true; }
 
-// Chooses guardians from the view and records a changed set. While the record is on its way,
-// the promises of the old and the new set are needed.
+// Chooses guardians from the view and records a changed set. Until the record is stored, promises
+// of both the old and the new set are required.
 void PromiseKeeper::updateGuardians() {
   const CellViewPtr View = Watch.view();
   std::map<std::string, std::string> Zones;
   for (const auto &[LogId, Member] : View->Members)
     if (!Member.Leaving)
       Zones[LogId] = Member.Zone;
-  const std::vector<std::string> Wanted =
-      chooseGuardians(Self.Log, Self.Zone, Zones, MostGuardians);
+  const std::vector<std::string> Wanted = chooseGuardians(Self.Log, Self.Zone, Zones, MaxGuardians);
   std::vector<wire::Guardian> Record;
   {
     std::lock_guard Lock(Mutex);
-    if (Changing || Wanted == Recorded || !Log->storeUp())
+    if (GuardianUpdatePending || Wanted == RecordedGuardians || !Log->storeUp())
       return;
-    Changing = true;
+    GuardianUpdatePending = true;
     for (const std::string &Name : Wanted) {
       Addresses[Name] = View->Members.at(Name).Peers;
       Record.emplace_back().set_incarnation(Name);
@@ -56,10 +56,10 @@
     if (Value == Durability::Witnessed)
       return;
     std::scoped_lock Lock(Mutex, Shared.Mutex);
-    Changing = false;
+    GuardianUpdatePending = false;
     if (Value == Durability::Lost)
       return;
-    Recorded = Wanted;
+    RecordedGuardians = Wanted;
     Shared.Own.Guardians = {Wanted.begin(), Wanted.end()};
     std::erase_if(Addresses, [&](const auto &Entry) {
       return std::find(Wanted.begin(), Wanted.end(), Entry.first) == Wanted.end();
@@ -120,7 +120,7 @@
 
 Awaitable<void> PromiseKeeper::run() {
   bool ByPromise = false;
-  bool Had = true;
+  bool HadAuthority = true;
   while (!Stopped && !Log->fenced()) {
     updateGuardians();
     std::vector<wire::JournalEntry> NoEntries;
@@ -134,24 +134,24 @@
     }
     if (!Lease && Promises && !ByPromise)
       logEvent(events::AuthorityByPromise, {{"log", Self.Log}});
-    if (!Lease && !Promises && Had)
+    if (!Lease && !Promises && HadAuthority)
       logEvent(events::AuthorityLost, {{"log", Self.Log}});
     ByPromise = !Lease && Promises;
-    Had = Lease || Promises;
+    HadAuthority = Lease || Promises;
     co_await sleepFor(Times.Promise / 3);
   }
 }
 
 wire::PromiseReply PromiseKeeper::onPromiseAsked(const wire::PromiseRequest &Request) {
   wire::PromiseReply Reply;
-  // A promise binds an incarnation: what an earlier process at this address refused is not
+  // A promise is bound to an incarnation: refusals by an earlier process at this address are not
   // known here.
   if (Request.guardian() != Self.Log)
     return Reply;
   std::lock_guard Lock(Shared.Mutex);
   const TimePoint Now = Time.Now();
   const TimePoint Until =
-      promise(Shared.Given, Request.log(), Request.cut_off(), Now, Times.Promise);
+      promise(Shared.GivenPromises, Request.log(), Request.cut_off(), Now, Times.Promise);
   if (Until == TimePoint{})
     return Reply;
   auto &Held = Shared.Witnessed[Request.log()];
@@ -165,7 +165,7 @@
     if (!Known)
       Held.push_back(Entry);
   }
-  if (Held.size() > MostWitnessedEntries)
+  if (Held.size() > MaxWitnessedEntries)
     return Reply;
   Reply.set_granted(true);
   Reply.set_valid_ms(Times.Promise.count());
@@ -176,19 +176,21 @@
   wire::RefuseReply Reply;
   const TimePoint Now = Time.Now();
   if (Request.guardian() != Self.Log) {
-    // The incarnation asked for is gone and promises nothing more; its last promise may still
-    // run for as long as this process has lived less than one promise.
-    const auto Lived = std::chrono::duration_cast<Milliseconds>(Now - Born);
+    // The requested incarnation is gone and gives no further promises. Its last promise may still
+    // be valid until this process has been up for the duration of one promise.
+    const auto Uptime = std::chrono::duration_cast<Milliseconds>(Now - StartedAt);
     Reply.set_refused(true);
     Reply.set_gone(true);
-    Reply.set_wait_ms(std::max<int64_t>(0, (Times.Promise - Lived).count()));
+    Reply.set_wait_ms(std::max<int64_t>(0, (Times.Promise - Uptime).count()));
     return Reply;
   }
   std::lock_guard Lock(Shared.Mutex);
-  const Refusal Answer = refuse(Shared.Given, Request.log(), Log->storeUp(), Times.Promise, Now);
+  const Refusal Answer =
+      refuse(Shared.GivenPromises, Request.log(), Log->storeUp(), Times.Promise, Now);
   Reply.set_refused(Answer.Agreed);
   Reply.set_wait_ms(Answer.Wait.count());
-  // Also without agreement: another guardian may be gone, and then this one is asked what it has.
+  // Returned even without a refusal: a claimant needs only the entries if the owner is proven gone
+  // or another guardian has refused.
   const auto Held = Shared.Witnessed.find(Request.log());
   if (Held != Shared.Witnessed.end())
     for (const wire::JournalEntry &Entry : Held->second)
