--- a/src/config/cell_config.cpp
+++ b/src/config/cell_config.cpp
@@ -19,70 +19,70 @@
 }
 
 ServiceConfig readService(TomlReader &Table) {
-  ServiceConfig Read;
-  Read.Name = Table.text("name", std::nullopt);
-  Read.Instances = Table.selector("instances");
-  Read.Slots = static_cast<int>(Table.integer("slots", 8, 1, 10000));
-  Read.Connections = static_cast<int>(Table.integer("connections", 64, 1, 100000));
-  return Read;
+  ServiceConfig Config;
+  Config.Name = Table.text("name", std::nullopt);
+  Config.Instances = Table.selector("instances");
+  Config.Slots = static_cast<int>(Table.integer("slots", 8, 1, 10000));
+  Config.Connections = static_cast<int>(Table.integer("connections", 64, 1, 100000));
+  return Config;
 }
 
 RouteConfig readRoute(TomlReader &Table) {
-  RouteConfig Read;
-  Read.Prefix = Table.text("prefix", std::nullopt);
-  if (!Read.Prefix.empty() && Read.Prefix.front() != '/')
-    Table.complain("prefix",
-                   "'" + Read.Prefix + "' is not a path; accepted is one that begins with /");
-  Read.Service = Table.text("service", std::nullopt);
-  Read.Callers = Table.selector("callers");
-  Read.Class = readClass(Table, "quick");
-  Read.Repeatable = Table.boolean("repeatable", false);
-  Read.Deadline = Table.duration("deadline", 2000ms, 10ms, 1h);
-  return Read;
+  RouteConfig Config;
+  Config.Prefix = Table.text("prefix", std::nullopt);
+  if (!Config.Prefix.empty() && Config.Prefix.front() != '/')
+    Table.reportError("prefix",
+                      "'" + Config.Prefix + "' is not a path; accepted is one that begins with /");
+  Config.Service = Table.text("service", std::nullopt);
+  Config.Callers = Table.selector("callers");
+  Config.Class = readClass(Table, "quick");
+  Config.Repeatable = Table.boolean("repeatable", false);
+  Config.Deadline = Table.duration("deadline", 2000ms, 10ms, 1h);
+  return Config;
 }
 
 ObjectiveConfig readObjective(TomlReader &Table) {
-  ObjectiveConfig Read;
-  Read.Name = Table.text("name", std::nullopt);
-  Read.Class = readClass(Table, "quick");
-  Read.WaitingTime = Table.duration("waiting_time", 1000ms, 1ms, 24h);
-  Read.Target = Table.number("target", 0.99, 0.5, 0.99999);
-  return Read;
+  ObjectiveConfig Config;
+  Config.Name = Table.text("name", std::nullopt);
+  Config.Class = readClass(Table, "quick");
+  Config.WaitingTime = Table.duration("waiting_time", 1000ms, 1ms, 24h);
+  Config.Target = Table.number("target", 0.99, 0.5, 0.99999);
+  return Config;
 }
 
 SteerConfig readSteer(TomlReader &Table) {
-  SteerConfig Read;
-  Read.Workloads = Table.selector("workloads");
-  Read.Boxes = Table.selector("boxes");
-  Read.Hold = Table.boolean("hold", false);
-  return Read;
+  SteerConfig Config;
+  Config.Workloads = Table.selector("workloads");
+  Config.Boxes = Table.selector("boxes");
+  Config.Hold = Table.boolean("hold", false);
+  return Config;
 }
 
-void checkRoutes(TomlReader &Root, const PartnerConfig &Read) {
-  for (const RouteConfig &Route : Read.Routes) {
-    const bool Found = std::any_of(Read.Services.begin(), Read.Services.end(),
+void checkRoutes(TomlReader &Root, const PartnerConfig &Config) {
+  for (const RouteConfig &Route : Config.Routes) {
+    const bool Found = std::any_of(Config.Services.begin(), Config.Services.end(),
                                    [&](const ServiceConfig &S) { return S.Name == Route.Service; });
     if (!Found)
-      Root.complain("route", "service '" + Route.Service + "' of prefix '" + Route.Prefix +
-                                 "' is not defined; accepted is the name of a [[service]]");
+      Root.reportError("route", "service '" + Route.Service + "' of prefix '" + Route.Prefix +
+                                    "' is not defined; accepted is the name of a [[service]]");
   }
 }
 
-void readAll(TomlReader &Root, PartnerConfig &Read) {
-  Root.tables("service", [&](TomlReader &T) { Read.Services.push_back(readService(T)); });
-  Root.tables("route", [&](TomlReader &T) { Read.Routes.push_back(readRoute(T)); });
-  Root.tables("objective", [&](TomlReader &T) { Read.Objectives.push_back(readObjective(T)); });
-  Root.tables("steer", [&](TomlReader &T) { Read.Steering.push_back(readSteer(T)); });
-  Root.named("team", [&](const std::string &Name, TomlReader &T) {
-    Read.TeamQuotas[Name].Limit = T.resources("quota", Read.TeamQuotas[Name].Limit);
+void readAll(TomlReader &Root, PartnerConfig &Config) {
+  Root.tables("service", [&](TomlReader &T) { Config.Services.push_back(readService(T)); });
+  Root.tables("route", [&](TomlReader &T) { Config.Routes.push_back(readRoute(T)); });
+  Root.tables("objective", [&](TomlReader &T) { Config.Objectives.push_back(readObjective(T)); });
+  Root.tables("steer", [&](TomlReader &T) { Config.Steering.push_back(readSteer(T)); });
+  Root.namedTables("team", [&](const std::string &Name, TomlReader &T) {
+    Config.TeamQuotas[Name].Limit = T.resources("quota", Config.TeamQuotas[Name].Limit);
   });
-  Read.Total.Limit = Root.resources("quota", Read.Total.Limit);
+  Config.Total.Limit = Root.resources("quota", Config.Total.Limit);
   Root.table("placement", false, [&](TomlReader &T) {
-    Read.Placement.Spread = T.number("spread", 0.5, 0, 1);
-    Read.Placement.Pack = T.number("pack", 0.5, 0, 1);
+    Config.Placement.Spread = T.number("spread", 0.5, 0, 1);
+    Config.Placement.Pack = T.number("pack", 0.5, 0, 1);
   });
   Root.finish();
-  checkRoutes(Root, Read);
+  checkRoutes(Root, Config);
 }
 
 Result<ConfigPart> decodePart(const boost::json::value &Value) {
@@ -101,17 +101,17 @@
 std::variant<PartnerConfig, SettingsErrors> parsePartnerConfig(std::string_view Text,
                                                                const std::string &File) {
   TomlErrors Errors{File, {}};
-  PartnerConfig Read;
+  PartnerConfig Config;
   try {
     const toml::table Parsed = toml::parse(Text, File);
     TomlReader Root(Parsed, "", Errors);
-    readAll(Root, Read);
+    readAll(Root, Config);
   } catch (const toml::parse_error &E) {
     Errors.add(E.source(), "syntax", std::string(E.description()));
   }
   if (!Errors.Errors.empty())
     return Errors.Errors;
-  return Read;
+  return Config;
 }
 
 std::string encodeCellConfig(const CellConfig &Config) {
@@ -134,8 +134,8 @@
   const auto *Parts = Root.as_object().if_contains("parts");
   if (!Version || !Version->is_number() || !Parts || !Parts->is_object())
     return Wrong;
-  CellConfig Read;
-  Read.Version = Version->to_number<uint64_t>();
+  CellConfig Config;
+  Config.Version = Version->to_number<uint64_t>();
   for (const auto &[Partner, Value] : Parts->as_object()) {
     const std::string Name(Partner);
     Result<ConfigPart> Part = decodePart(Value);
@@ -144,10 +144,10 @@
     auto Parsed = parsePartnerConfig(value(Part).Text, Name);
     if (auto *Errors = std::get_if<SettingsErrors>(&Parsed))
       return Error{ErrorKind::BadSettings, toString(Errors->front())};
-    Read.Parts[Name] = std::move(value(Part));
-    Read.Partners[Name] = std::get<PartnerConfig>(Parsed);
+    Config.Parts[Name] = std::move(value(Part));
+    Config.Partners[Name] = std::get<PartnerConfig>(Parsed);
   }
-  return Read;
+  return Config;
 }
 
 QuotaConfig teamQuota(const CellConfig &Config, const std::string &Partner,
--- a/src/config/config_keeper.cpp
+++ b/src/config/config_keeper.cpp
@@ -8,7 +8,7 @@
 
 namespace valveshelf {
 namespace {
-constexpr int MaxRaces = 8;
+constexpr int MaxAttempts = 8;
 }
 
 ConfigKeeper::ConfigKeeper(StoreOps Store, Clock Time, PeerOps Peers, CellWatch &Watch)
@@ -92,18 +92,18 @@
   const PartnerConfig &Parsed = std::get<PartnerConfig>(Checked);
   bool MayHaveWritten = false;
   Result<uint64_t> Last = Error{};
-  for (int Race = 0; Race < MaxRaces; ++Race) {
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
     Last = co_await applyOnce(Change, Parsed);
     if (ok(Last))
       co_return Last;
     const ErrorKind Kind = error(Last).Kind;
     MayHaveWritten = MayHaveWritten || Kind == ErrorKind::OutcomeUnknown;
     // The part itself is unchanged if only the other partner's change came between.
-    const bool RealConflict =
+    const bool PartChanged =
         Kind == ErrorKind::Conflict && error(Last).Detail.find("won") != std::string::npos;
-    if (RealConflict && !MayHaveWritten)
+    if (PartChanged && !MayHaveWritten)
       co_return Last;
-    if (RealConflict || Kind == ErrorKind::BadSettings)
+    if (PartChanged || Kind == ErrorKind::BadSettings)
       break;
     if (Kind == ErrorKind::StoreUnavailable && !MayHaveWritten)
       co_return Last;
--- a/src/config/settings_test.cpp
+++ b/src/config/settings_test.cpp
@@ -26,8 +26,8 @@
   auto Parsed = parseEntrySettings(Text, "entry.toml");
   std::vector<std::string> Lines;
   if (auto *Errors = std::get_if<SettingsErrors>(&Parsed))
-    for (const SettingsError &Wrong : *Errors)
-      Lines.push_back(toString(Wrong));
+    for (const SettingsError &Problem : *Errors)
+      Lines.push_back(toString(Problem));
   return Lines;
 }
 
@@ -37,7 +37,7 @@
       std::holds_alternative<PartnerConfig>(parsePartnerConfig(example("cell.toml"), "cell.toml")));
 }
 
-TEST(Settings, AllErrorsAtOnceWithPlaceAndWhatIsAccepted) {
+TEST(Settings, ReportsAllErrorsWithPositions) {
   std::string Text = example("entry.toml");
   Text = replaced(Text, "peers = \"127.0.0.1:8082\"", "peers = \"127.0.0.1:8080\"");
   Text = replaced(Text, "lease = \"3s\"", "lease = \"3 parsecs\"");
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -13,7 +13,7 @@
 };
 
 // Splits "250ms" into 250 and the factor of its unit; empty if it is not of that form.
-std::optional<int64_t> withUnit(const std::string &Text, std::initializer_list<Unit> Units) {
+std::optional<int64_t> parseWithUnit(const std::string &Text, std::initializer_list<Unit> Units) {
   int64_t Amount = 0;
   const auto [End, Code] = std::from_chars(Text.data(), Text.data() + Text.size(), Amount);
   if (Code != std::errc() || Amount < 0)
@@ -48,7 +48,7 @@
   return Prefix.empty() ? std::string(Key) : Prefix + "." + std::string(Key);
 }
 
-void TomlReader::complain(std::string_view Key, const std::string &Problem) {
+void TomlReader::reportError(std::string_view Key, const std::string &Problem) {
   const toml::node *Node = Table.get(Key);
   Errors.add(Node ? Node->source() : Table.source(), fieldName(Key), Problem);
 }
@@ -56,12 +56,12 @@
 std::string TomlReader::text(std::string_view Key, std::optional<std::string> Default) {
   const toml::node *Node = find(Key);
   if (!Node && !Default)
-    complain(Key, "is missing; accepted is a string");
+    reportError(Key, "is missing; accepted is a string");
   if (!Node)
     return Default.value_or("");
   if (const auto Value = Node->value_exact<std::string>(); Value && !Value->empty())
     return *Value;
-  complain(Key, "has the wrong type or is empty; accepted is a string");
+  reportError(Key, "has the wrong type or is empty; accepted is a string");
   return Default.value_or("");
 }
 
@@ -76,7 +76,7 @@
       return Value;
     Listed += (Listed.empty() ? "" : ", ") + A;
   }
-  complain(Key, "'" + Value + "' is not accepted; accepted are " + Listed);
+  reportError(Key, "'" + Value + "' is not accepted; accepted are " + Listed);
   return Default.value_or("");
 }
 
@@ -84,14 +84,14 @@
                             int64_t Most) {
   const toml::node *Node = find(Key);
   if (!Node && !Default)
-    complain(Key, "is missing; accepted is an integer from " + rangeText(Least, Most));
+    reportError(Key, "is missing; accepted is an integer from " + rangeText(Least, Most));
   if (!Node)
     return Default.value_or(Least);
   const auto Value = Node->value_exact<int64_t>();
   if (!Value)
-    complain(Key, "has the wrong type; accepted is an integer from " + rangeText(Least, Most));
+    reportError(Key, "has the wrong type; accepted is an integer from " + rangeText(Least, Most));
   else if (*Value < Least || *Value > Most)
-    complain(Key, "is out of range; accepted is " + rangeText(Least, Most));
+    reportError(Key, "is out of range; accepted is " + rangeText(Least, Most));
   else
     return *Value;
   return Default.value_or(Least);
@@ -103,14 +103,14 @@
   const std::string Accepted =
       "accepted is a number from " + std::to_string(Least) + " to " + std::to_string(Most);
   if (!Node && !Default)
-    complain(Key, "is missing; " + Accepted);
+    reportError(Key, "is missing; " + Accepted);
   if (!Node)
     return Default.value_or(Least);
   const auto Value = Node->value<double>();
   if (!Value || Node->is_boolean() || Node->is_string())
-    complain(Key, "has the wrong type; " + Accepted);
+    reportError(Key, "has the wrong type; " + Accepted);
   else if (!(*Value >= Least && *Value <= Most))
-    complain(Key, "is out of range; " + Accepted);
+    reportError(Key, "is out of range; " + Accepted);
   else
     return *Value;
   return Default.value_or(Least);
@@ -122,7 +122,7 @@
     return Default;
   if (const auto Value = Node->value_exact<bool>())
     return *Value;
-  complain(Key, "has the wrong type; accepted are true and false");
+  reportError(Key, "has the wrong type; accepted are true and false");
   return Default;
 }
 
@@ -133,17 +133,17 @@
                                "\"8h\", from " +
                                rangeText(Least.count(), Most.count()) + " ms";
   if (!Node && !Default)
-    complain(Key, "is missing; " + Accepted);
+    reportError(Key, "is missing; " + Accepted);
   if (!Node)
     return Default.value_or(Least);
   const auto Value = Node->value_exact<std::string>();
-  const auto Count = Value
-                         ? withUnit(*Value, {{"ms", 1}, {"s", 1000}, {"m", 60000}, {"h", 3600000}})
-                         : std::nullopt;
+  const auto Count =
+      Value ? parseWithUnit(*Value, {{"ms", 1}, {"s", 1000}, {"m", 60000}, {"h", 3600000}})
+            : std::nullopt;
   if (!Count)
-    complain(Key, "is not a duration or has a bad unit; " + Accepted);
+    reportError(Key, "is not a duration or has a bad unit; " + Accepted);
   else if (*Count < Least.count() || *Count > Most.count())
-    complain(Key, "is out of range; " + Accepted);
+    reportError(Key, "is out of range; " + Accepted);
   else
     return Milliseconds(*Count);
   return Default.value_or(Least);
@@ -155,14 +155,15 @@
     return Default;
   const auto Value = Node->value_exact<std::string>();
   const auto Count =
-      Value ? withUnit(*Value, {{"B", 1}, {"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}})
-            : std::nullopt;
+      Value
+          ? parseWithUnit(*Value, {{"B", 1}, {"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}})
+          : std::nullopt;
   const std::string Accepted =
       "accepted is a size such as \"16KiB\" or \"8MiB\", from " + rangeText(Least, Most) + " bytes";
   if (!Count)
-    complain(Key, "is not a size or has a bad unit; " + Accepted);
+    reportError(Key, "is not a size or has a bad unit; " + Accepted);
   else if (*Count < Least || *Count > Most)
-    complain(Key, "is out of range; " + Accepted);
+    reportError(Key, "is out of range; " + Accepted);
   else
     return *Count;
   return Default;
@@ -171,14 +172,14 @@
 Endpoint TomlReader::endpoint(std::string_view Key, bool Required) {
   const toml::node *Node = find(Key);
   if (!Node && Required)
-    complain(Key, "is missing; accepted is IP:PORT");
+    reportError(Key, "is missing; accepted is IP:PORT");
   if (!Node)
     return {};
   const auto Value = Node->value_exact<std::string>();
   const Result<Endpoint> Parsed = parseEndpoint(Value.value_or(""));
   if (ok(Parsed))
     return value(Parsed);
-  complain(Key, Value ? error(Parsed).Detail : "has the wrong type; accepted is IP:PORT");
+  reportError(Key, Value ? error(Parsed).Detail : "has the wrong type; accepted is IP:PORT");
   return {};
 }
 
@@ -188,13 +189,13 @@
     return {};
   const auto Value = Node->value_exact<std::string>();
   if (!Value) {
-    complain(Key, "has the wrong type; accepted is a label selector in a string");
+    reportError(Key, "has the wrong type; accepted is a label selector in a string");
     return {};
   }
   Result<Selector> Parsed = parseSelector(*Value);
   if (ok(Parsed))
     return value(Parsed);
-  complain(Key, error(Parsed).Detail);
+  reportError(Key, error(Parsed).Detail);
   return {};
 }
 
@@ -215,7 +216,7 @@
   if (!Node)
     return Read;
   if (!Node->is_table()) {
-    complain(Key, "has the wrong type; accepted is a table of strings");
+    reportError(Key, "has the wrong type; accepted is a table of strings");
     return Read;
   }
   for (const auto &[Name, Value] : *Node->as_table()) {
@@ -232,11 +233,11 @@
                        const std::function<void(TomlReader &)> &Read) {
   const toml::node *Node = find(Key);
   if (!Node && Required)
-    complain(Key, "is missing; accepted is a table [" + fieldName(Key) + "]");
+    reportError(Key, "is missing; accepted is a table [" + fieldName(Key) + "]");
   if (!Node)
     return;
   if (!Node->is_table()) {
-    complain(Key, "has the wrong type; accepted is a table [" + fieldName(Key) + "]");
+    reportError(Key, "has the wrong type; accepted is a table [" + fieldName(Key) + "]");
     return;
   }
   TomlReader Inner(*Node->as_table(), fieldName(Key), Errors);
@@ -249,25 +250,25 @@
   if (!Node)
     return;
   if (!Node->is_array_of_tables()) {
-    complain(Key, "has the wrong type; accepted are tables [[" + fieldName(Key) + "]]");
+    reportError(Key, "has the wrong type; accepted are tables [[" + fieldName(Key) + "]]");
     return;
   }
   int Position = 0;
   for (const toml::node &Item : *Node->as_array()) {
-    const std::string Place = std::string(Key) + "[" + std::to_string(Position++) + "]";
-    TomlReader Inner(*Item.as_table(), fieldName(Place), Errors);
+    const std::string ItemKey = std::string(Key) + "[" + std::to_string(Position++) + "]";
+    TomlReader Inner(*Item.as_table(), fieldName(ItemKey), Errors);
     Read(Inner);
     Inner.finish();
   }
 }
 
-void TomlReader::named(std::string_view Key,
-                       const std::function<void(const std::string &, TomlReader &)> &Read) {
+void TomlReader::namedTables(std::string_view Key,
+                             const std::function<void(const std::string &, TomlReader &)> &Read) {
   const toml::node *Node = find(Key);
   if (!Node)
     return;
   if (!Node->is_table()) {
-    complain(Key, "has the wrong type; accepted are tables [" + fieldName(Key) + ".NAME]");
+    reportError(Key, "has the wrong type; accepted are tables [" + fieldName(Key) + ".NAME]");
     return;
   }
   for (const auto &[Name, Value] : *Node->as_table()) {
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -53,11 +53,11 @@
   /// Calls \p Read for each table of an array of tables.
   void tables(std::string_view Key, const std::function<void(TomlReader &)> &Read);
   /// Calls \p Read for each named sub-table of table \p Key.
-  void named(std::string_view Key,
-             const std::function<void(const std::string &, TomlReader &)> &Read);
+  void namedTables(std::string_view Key,
+                   const std::function<void(const std::string &, TomlReader &)> &Read);
 
   /// Reports \p Problem at \p Key, or at the table if the key is absent.
-  void complain(std::string_view Key, const std::string &Problem);
+  void reportError(std::string_view Key, const std::string &Problem);
   /// Reports unknown keys. Call last.
   void finish();
 
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -27,13 +27,13 @@
 constexpr std::chrono::seconds MaxIdleTime{60};
 
 // A connection that was used so recently is not looked at before it is used again.
-constexpr Milliseconds FreshTime{20};
+constexpr Milliseconds MaxUncheckedIdleTime{20};
 // Room for a usual answer, so that it is read at once.
-constexpr size_t UsualAnswer = 4096;
+constexpr size_t ReadBufferBytes = 4096;
 
 struct Connection {
-  Connection(Executor Where, Endpoint To) : Stream(std::move(Where)), To(std::move(To)) {
-    Buffer.reserve(UsualAnswer);
+  Connection(Executor Exec, Endpoint To) : Stream(std::move(Exec)), To(std::move(To)) {
+    Buffer.reserve(ReadBufferBytes);
   }
   beast::tcp_stream Stream;
   beast::flat_buffer Buffer;
@@ -45,7 +45,7 @@
   bool TimedOut = false; ///< The call under way was given up at its deadline.
 
   // False if the other side has closed it, or has sent what nobody asked for.
-  bool isQuiet() {
+  bool isOpenAndQuiet() {
     boost::system::error_code Failure;
     char Byte = 0;
     Stream.socket().receive(asio::buffer(&Byte, 1), asio::socket_base::message_peek, Failure);
@@ -71,28 +71,28 @@
 // read (exchange below has the figure for both).
 class Deadlines : public std::enable_shared_from_this<Deadlines> {
 public:
-  explicit Deadlines(const Executor &Where) : Timer(Where) {}
+  explicit Deadlines(const Executor &Exec) : Timer(Exec) {}
 
-  using Place = std::pair<TimePoint, uint64_t>;
+  using EntryKey = std::pair<TimePoint, uint64_t>;
   struct Entry {
-    ConnectionPtr Used;
+    ConnectionPtr Conn;
     uint64_t Call;
-    Executor Where; ///< On which the call runs.
+    Executor Exec; ///< On which the call runs.
   };
 
-  Place add(TimePoint At, Entry What) {
+  EntryKey add(TimePoint At, Entry What) {
     std::lock_guard Lock(Mutex);
-    const Place Mine{At, ++LastNumber};
-    Waiting.emplace(Mine, std::move(What));
+    const EntryKey OwnKey{At, ++LastNumber};
+    Pending.emplace(OwnKey, std::move(What));
     if (At < Armed)
       arm(At);
-    return Mine;
+    return OwnKey;
   }
 
-  void remove(const Place &Mine) {
+  void remove(const EntryKey &OwnKey) {
     std::lock_guard Lock(Mutex);
-    Waiting.erase(Mine);
-    if (!Waiting.empty() || Armed == TimePoint::max())
+    Pending.erase(OwnKey);
+    if (!Pending.empty() || Armed == TimePoint::max())
       return;
     Armed = TimePoint::max(); // nothing holds up an executor that would end
     Timer.cancel();
@@ -106,31 +106,31 @@
     Timer.async_wait([Me = weak_from_this()](boost::system::error_code Failure) {
       const auto Here = Me.lock();
       if (!Failure && Here)
-        Here->endDue();
+        Here->cancelExpired();
     });
   }
 
-  void endDue() {
+  void cancelExpired() {
     std::lock_guard Lock(Mutex);
     const TimePoint Now = Steady::now();
-    while (!Waiting.empty() && Waiting.begin()->first.first <= Now) {
-      asio::post(Waiting.begin()->second.Where, [What = Waiting.begin()->second] {
-        if (!What.Used->InCall || What.Used->Call != What.Call)
+    while (!Pending.empty() && Pending.begin()->first.first <= Now) {
+      asio::post(Pending.begin()->second.Exec, [What = Pending.begin()->second] {
+        if (!What.Conn->InCall || What.Conn->Call != What.Call)
           return;
-        What.Used->TimedOut = true;
+        What.Conn->TimedOut = true;
         boost::system::error_code Ignored;
-        What.Used->Stream.socket().cancel(Ignored);
+        What.Conn->Stream.socket().cancel(Ignored);
       });
-      Waiting.erase(Waiting.begin());
+      Pending.erase(Pending.begin());
     }
-    if (Waiting.empty())
+    if (Pending.empty())
       Armed = TimePoint::max();
     else
-      arm(Waiting.begin()->first.first);
+      arm(Pending.begin()->first.first);
   }
 
   std::mutex Mutex;
-  std::map<Place, Entry> Waiting;     ///< Guarded by Mutex.
+  std::map<EntryKey, Entry> Pending;  ///< Guarded by Mutex.
   uint64_t LastNumber = 0;            ///< Guarded by Mutex.
   TimePoint Armed = TimePoint::max(); ///< When Timer fires; max: never. Guarded by Mutex.
   SteadyTimer Timer;                  ///< Guarded by Mutex.
@@ -138,11 +138,12 @@
 } // namespace
 
 class HttpClient::Impl : public std::enable_shared_from_this<HttpClient::Impl> {
-  using AgeList = std::list<ConnectionPtr>;
+  using IdleList = std::list<ConnectionPtr>;
 
 public:
-  Impl(Executor Where, HttpClientLimits Limits, TrafficMeter *Meter)
-      : Where(Where), Limits(Limits), Meter(Meter), Ending(std::make_shared<Deadlines>(Where)) {}
+  Impl(Executor Exec, HttpClientLimits Limits, TrafficMeter *Meter)
+      : Exec(Exec), Limits(Limits), Meter(Meter), CallDeadlines(std::make_shared<Deadlines>(Exec)) {
+  }
 
   ConnectionPtr takeIdle(const Endpoint &To) {
     std::lock_guard Lock(Mutex);
@@ -152,40 +153,40 @@
     auto &Kept = Found->second;
     while (!Kept.empty()) {
       ConnectionPtr Last = *Kept.back();
-      ByAge.erase(Kept.back());
+      IdleByAge.erase(Kept.back());
       Kept.pop_back();
       const auto IdleFor = Steady::now() - Last->IdleSince;
-      if (IdleFor < FreshTime || (IdleFor < MaxIdleTime && Last->isQuiet()))
+      if (IdleFor < MaxUncheckedIdleTime || (IdleFor < MaxIdleTime && Last->isOpenAndQuiet()))
         return Last;
     }
     return nullptr;
   }
 
-  void keep(ConnectionPtr Used) {
+  void returnIdle(ConnectionPtr Conn) {
     std::lock_guard Lock(Mutex);
-    auto &Kept = Idle[Used->To];
+    auto &Kept = Idle[Conn->To];
     if (Kept.size() >= MaxIdlePerEndpoint) {
-      ByAge.erase(Kept.front());
+      IdleByAge.erase(Kept.front());
       Kept.erase(Kept.begin());
     }
-    Used->IdleSince = Steady::now();
-    Kept.push_back(ByAge.insert(ByAge.end(), std::move(Used)));
-    if (ByAge.size() > Limits.MaxIdle)
-      closeOldest();
+    Conn->IdleSince = Steady::now();
+    Kept.push_back(IdleByAge.insert(IdleByAge.end(), std::move(Conn)));
+    if (IdleByAge.size() > Limits.MaxIdle)
+      closeIdleLongest();
   }
 
   // Closes what is idle towards an address that did not answer on a kept connection, and has been
   // since the call began. Connections may go silent for good without a reset while new ones work;
   // each of up to sixteen kept ones would otherwise cost a call its whole time.
-  void forget(const Endpoint &To, TimePoint Before) {
+  void closeIdleBefore(const Endpoint &To, TimePoint Before) {
     std::lock_guard Lock(Mutex);
     const auto Found = Idle.find(To);
     if (Found == Idle.end())
       return;
-    std::erase_if(Found->second, [&](const AgeList::iterator &Kept) {
+    std::erase_if(Found->second, [&](const IdleList::iterator &Kept) {
       const bool IsOld = (*Kept)->IdleSince < Before;
       if (IsOld)
-        ByAge.erase(Kept);
+        IdleByAge.erase(Kept);
       return IsOld;
     });
     if (Found->second.empty())
@@ -193,8 +194,7 @@
   }
 
   Awaitable<Result<ConnectionPtr>> connect(Endpoint To, Milliseconds Timeout) {
-    auto Made =
-        std::make_shared<Connection>(Limits.OneThread ? Where : asio::make_strand(Where), To);
+    auto Made = std::make_shared<Connection>(Limits.OneThread ? Exec : asio::make_strand(Exec), To);
     boost::system::error_code Bad;
     const tcp::endpoint Target(asio::ip::make_address(To.Host, Bad), To.Port);
     Made->Stream.expires_after(Timeout);
@@ -210,41 +210,42 @@
     co_return Made;
   }
 
-  const Executor Where;
+  const Executor Exec;
   const HttpClientLimits Limits;
   TrafficMeter *const Meter; ///< Or null.
-  const std::shared_ptr<Deadlines> Ending;
+  const std::shared_ptr<Deadlines> CallDeadlines;
 
 private:
   // Called under Mutex. Within an endpoint the first is idle longest.
-  void closeOldest() {
-    const auto Kept = Idle.find(ByAge.front()->To);
-    ByAge.pop_front();
+  void closeIdleLongest() {
+    const auto Kept = Idle.find(IdleByAge.front()->To);
+    IdleByAge.pop_front();
     Kept->second.erase(Kept->second.begin());
     if (Kept->second.empty())
       Idle.erase(Kept);
   }
 
   std::mutex Mutex;
-  AgeList ByAge; ///< The idle connections, oldest first. Guarded by Mutex.
-  /// Places in ByAge, within an endpoint oldest first. Guarded by Mutex.
-  std::unordered_map<Endpoint, std::vector<AgeList::iterator>, EndpointHash> Idle;
+  IdleList IdleByAge; ///< The idle connections, oldest first. Guarded by Mutex.
+  /// Places in IdleByAge, within an endpoint oldest first. Guarded by Mutex.
+  std::unordered_map<Endpoint, std::vector<IdleList::iterator>, EndpointHash> Idle;
 };
 
 namespace {
 class ClientCall final : public HttpCall {
 public:
-  ClientCall(std::function<void(ConnectionPtr)> Keep, ConnectionPtr Used, Endpoint To,
+  ClientCall(std::function<void(ConnectionPtr)> ReturnIdle, ConnectionPtr Conn, Endpoint To,
              CallOptions Options)
-      : Keep(std::move(Keep)), Used(std::move(Used)), To(std::move(To)), Options(Options) {}
+      : ReturnIdle(std::move(ReturnIdle)), Conn(std::move(Conn)), To(std::move(To)),
+        Options(Options) {}
 
   ~ClientCall() override {
-    if (!Used)
+    if (!Conn)
       return;
-    if (Whole && Reusable)
-      Keep(Used);
+    if (Complete && Reusable)
+      ReturnIdle(Conn);
     else
-      Used->abort();
+      Conn->abort();
   }
 
   Awaitable<Result<Done>> writeHead(const HttpRequest &Head,
@@ -262,9 +263,9 @@
     else if (*Length > 0 || Head.Method == "POST" || Head.Method == "PUT")
       Message.set(http::field::content_length, std::to_string(*Length));
     http::request_serializer<http::empty_body> Serializer{Message};
-    Used->Stream.expires_after(Options.Timeout);
+    Conn->Stream.expires_after(Options.Timeout);
     Sent = true;
-    auto [Failure, Bytes] = co_await http::async_write_header(Used->Stream, Serializer, AsTuple);
+    auto [Failure, Bytes] = co_await http::async_write_header(Conn->Stream, Serializer, AsTuple);
     if (Failure)
       co_return cut(Failure);
     co_return Done{};
@@ -274,14 +275,14 @@
     if (Piece.empty())
       co_return Done{};
     const asio::const_buffer Bytes(Piece.data(), Piece.size());
-    Used->Stream.expires_after(Options.Timeout);
+    Conn->Stream.expires_after(Options.Timeout);
     boost::system::error_code Failure;
     if (Chunked) {
       auto [Code, Count] =
-          co_await asio::async_write(Used->Stream, http::make_chunk(Bytes), AsTuple);
+          co_await asio::async_write(Conn->Stream, http::make_chunk(Bytes), AsTuple);
       Failure = Code;
     } else {
-      auto [Code, Count] = co_await asio::async_write(Used->Stream, Bytes, AsTuple);
+      auto [Code, Count] = co_await asio::async_write(Conn->Stream, Bytes, AsTuple);
       Failure = Code;
     }
     if (Failure)
@@ -293,7 +294,7 @@
     if (!Chunked)
       co_return Done{};
     auto [Failure, Count] =
-        co_await asio::async_write(Used->Stream, http::make_chunk_last(), AsTuple);
+        co_await asio::async_write(Conn->Stream, http::make_chunk_last(), AsTuple);
     if (Failure)
       co_return cut(Failure);
     co_return Done{};
@@ -304,9 +305,9 @@
     Parser->body_limit(boost::none);
     if (IsHead)
       Parser->skip(true);
-    Used->Stream.expires_after(Options.Timeout);
+    Conn->Stream.expires_after(Options.Timeout);
     auto [Failure, Bytes] =
-        co_await http::async_read_header(Used->Stream, Used->Buffer, *Parser, AsTuple);
+        co_await http::async_read_header(Conn->Stream, Conn->Buffer, *Parser, AsTuple);
     if (Failure)
       co_return cut(Failure);
     HttpResponse Head;
@@ -314,7 +315,7 @@
     for (const auto &Field : Parser->get())
       Head.Headers.emplace_back(Field.name_string(), Field.value());
     Reusable = Parser->keep_alive();
-    Whole = Parser->is_done();
+    Complete = Parser->is_done();
     co_return Head;
   }
 
@@ -324,16 +325,16 @@
       Body.data = Room.data();
       Body.size = Room.size();
       Body.more = true;
-      Used->Stream.expires_after(Options.Timeout);
+      Conn->Stream.expires_after(Options.Timeout);
       auto [Failure, Bytes] =
-          co_await http::async_read(Used->Stream, Used->Buffer, *Parser, AsTuple);
+          co_await http::async_read(Conn->Stream, Conn->Buffer, *Parser, AsTuple);
       if (Failure && Failure != http::error::need_buffer)
         co_return cut(Failure);
       const size_t Read = Room.size() - Body.size;
       if (Read > 0)
         co_return Read;
     }
-    Whole = true;
+    Complete = true;
     co_return size_t{0};
   }
 
@@ -345,40 +346,40 @@
             "the answer of " + toString(To) + " is lost: " + Failure.message()};
   }
 
-  std::function<void(ConnectionPtr)> Keep;
-  ConnectionPtr Used;
+  std::function<void(ConnectionPtr)> ReturnIdle;
+  ConnectionPtr Conn;
   Endpoint To;
   CallOptions Options;
   std::optional<http::response_parser<http::buffer_body>> Parser;
   bool Chunked = false;
   bool IsHead = false;
   bool Sent = false;
-  bool Whole = false;
+  bool Complete = false;
   bool Reusable = false;
 };
 } // namespace
 
-HttpClient::HttpClient(Executor Where, HttpClientLimits Limits, TrafficMeter *Meter)
-    : Inner(std::make_shared<Impl>(Where, Limits, Meter)) {}
+HttpClient::HttpClient(Executor Exec, HttpClientLimits Limits, TrafficMeter *Meter)
+    : Inner(std::make_shared<Impl>(Exec, Limits, Meter)) {}
 HttpClient::~HttpClient() = default;
 
 Awaitable<Result<std::shared_ptr<HttpCall>>> HttpClient::open(Endpoint To, CallOptions Options) {
   std::shared_ptr<Impl> Pool = Inner;
-  ConnectionPtr Used = Options.FreshConnection ? nullptr : Pool->takeIdle(To);
-  if (!Used) {
+  ConnectionPtr Conn = Options.FreshConnection ? nullptr : Pool->takeIdle(To);
+  if (!Conn) {
     Result<ConnectionPtr> Made = co_await Pool->connect(To, Options.Timeout);
     if (!ok(Made))
       co_return error(Made);
-    Used = value(Made);
+    Conn = value(Made);
   }
-  auto Keep = [Pool](ConnectionPtr Free) { Pool->keep(std::move(Free)); };
+  auto ReturnIdle = [Pool](ConnectionPtr Free) { Pool->returnIdle(std::move(Free)); };
   std::shared_ptr<HttpCall> Call =
-      std::make_shared<ClientCall>(std::move(Keep), std::move(Used), To, Options);
+      std::make_shared<ClientCall>(std::move(ReturnIdle), std::move(Conn), To, Options);
   co_return Call;
 }
 
 namespace {
-http::request<http::string_body> wholeMessage(const Endpoint &To, HttpRequest Request) {
+http::request<http::string_body> toBeastRequest(const Endpoint &To, HttpRequest Request) {
   http::request<http::string_body> Message{http::string_to_verb(Request.Method), Request.Target, 11,
                                            std::move(Request.Body)};
   if (Message.method() == http::verb::unknown)
@@ -391,7 +392,7 @@
   return Message;
 }
 
-HttpResponse wholeAnswer(http::response<http::string_body> Message) {
+HttpResponse toHttpResponse(http::response<http::string_body> Message) {
   HttpResponse Answer;
   Answer.Status = static_cast<int>(Message.result_int());
   for (const auto &Field : Message)
@@ -405,52 +406,54 @@
 // A call on a connection, and the end of it at its deadline.
 class TimedCall {
 public:
-  TimedCall(std::shared_ptr<Deadlines> Ending, ConnectionPtr Used, TimePoint At, Executor Where)
-      : Ending(std::move(Ending)), Used(std::move(Used)) {
-    ++this->Used->Call;
-    this->Used->InCall = true;
-    this->Used->TimedOut = false;
-    Mine = this->Ending->add(At, {this->Used, this->Used->Call, std::move(Where)});
+  TimedCall(std::shared_ptr<Deadlines> CallDeadlines, ConnectionPtr Conn, TimePoint At,
+            Executor Exec)
+      : CallDeadlines(std::move(CallDeadlines)), Conn(std::move(Conn)) {
+    ++this->Conn->Call;
+    this->Conn->InCall = true;
+    this->Conn->TimedOut = false;
+    OwnKey = this->CallDeadlines->add(At, {this->Conn, this->Conn->Call, std::move(Exec)});
   }
   ~TimedCall() {
-    Used->InCall = false;
-    Ending->remove(Mine);
+    Conn->InCall = false;
+    CallDeadlines->remove(OwnKey);
   }
   TimedCall(const TimedCall &) = delete;
   TimedCall &operator=(const TimedCall &) = delete;
 
 private:
-  const std::shared_ptr<Deadlines> Ending;
-  const ConnectionPtr Used;
-  Deadlines::Place Mine;
+  const std::shared_ptr<Deadlines> CallDeadlines;
+  const ConnectionPtr Conn;
+  Deadlines::EntryKey OwnKey;
 };
 
 using Serializer = http::request_serializer<http::string_body>;
 using Parser = http::response_parser<http::string_body>;
 
 // Writes what the socket takes now; would_block: there is more.
-boost::system::error_code writeNow(Connection &Used, Serializer &Out, TrafficCounts &Seen) {
+boost::system::error_code writeWithoutWaiting(Connection &Conn, Serializer &Out,
+                                              TrafficCounts &Counts) {
   boost::system::error_code Failure;
   while (!Failure && !Out.is_done())
     Out.next(Failure, [&](boost::system::error_code &Code, const auto &Buffers) {
-      const size_t Written = Used.Stream.socket().write_some(Buffers, Code);
-      Seen.BytesSent += Written;
+      const size_t Written = Conn.Stream.socket().write_some(Buffers, Code);
+      Counts.BytesSent += Written;
       Out.consume(Written);
     });
   return Failure;
 }
 
 // Parses what has been read. At the end of the stream \p Failure is eof.
-boost::system::error_code parseRead(Connection &Used, Parser &Into,
+boost::system::error_code parseRead(Connection &Conn, Parser &Into,
                                     boost::system::error_code Failure) {
   if (Failure == asio::error::eof && Into.got_some()) {
     Failure = {};
     Into.put_eof(Failure);
     return Failure;
   }
-  while (!Failure && !Into.is_done() && Used.Buffer.size() > 0) {
-    const size_t Parsed = Into.put(Used.Buffer.data(), Failure);
-    Used.Buffer.consume(Parsed);
+  while (!Failure && !Into.is_done() && Conn.Buffer.size() > 0) {
+    const size_t Parsed = Into.put(Conn.Buffer.data(), Failure);
+    Conn.Buffer.consume(Parsed);
     if (Failure == http::error::need_more)
       return {};
   }
@@ -459,24 +462,24 @@
 
 // The request is written at once where the socket takes it; the answer usually comes in one piece.
 // So a call waits once, where timed operations for the write and the read would wait twice.
-Awaitable<boost::system::error_code> exchange(Connection &Used,
+Awaitable<boost::system::error_code> exchange(Connection &Conn,
                                               const http::request<http::string_body> &Message,
-                                              Parser &Into, TrafficCounts &Seen) {
+                                              Parser &Into, TrafficCounts &Counts) {
   Serializer Out{Message};
   Into.eager(true);
-  boost::system::error_code Failure = writeNow(Used, Out, Seen);
-  while (Failure == asio::error::would_block && !Used.TimedOut) {
-    auto [Code] = co_await Used.Stream.socket().async_wait(tcp::socket::wait_write, AsTuple);
-    Failure = Code ? Code : writeNow(Used, Out, Seen);
+  boost::system::error_code Failure = writeWithoutWaiting(Conn, Out, Counts);
+  while (Failure == asio::error::would_block && !Conn.TimedOut) {
+    auto [Code] = co_await Conn.Stream.socket().async_wait(tcp::socket::wait_write, AsTuple);
+    Failure = Code ? Code : writeWithoutWaiting(Conn, Out, Counts);
   }
-  while (!Failure && !Into.is_done() && !Used.TimedOut) {
-    auto [Code, Bytes] =
-        co_await Used.Stream.socket().async_read_some(Used.Buffer.prepare(UsualAnswer), AsTuple);
-    Used.Buffer.commit(Bytes);
-    Seen.BytesReceived += Bytes;
-    Failure = parseRead(Used, Into, Code);
+  while (!Failure && !Into.is_done() && !Conn.TimedOut) {
+    auto [Code, Bytes] = co_await Conn.Stream.socket().async_read_some(
+        Conn.Buffer.prepare(ReadBufferBytes), AsTuple);
+    Conn.Buffer.commit(Bytes);
+    Counts.BytesReceived += Bytes;
+    Failure = parseRead(Conn, Into, Code);
   }
-  if (!Into.is_done() && (!Failure || Used.TimedOut))
+  if (!Into.is_done() && (!Failure || Conn.TimedOut))
     Failure = beast::error::timeout;
   co_return Failure;
 }
@@ -486,42 +489,42 @@
                                                  CallOptions Options) {
   std::shared_ptr<Impl> Pool = Inner;
   const TimePoint Deadline = Steady::now() + Options.Timeout;
-  ConnectionPtr Used = Options.FreshConnection ? nullptr : Pool->takeIdle(To);
-  const bool WasKept = Used != nullptr;
-  TrafficCounts Seen{1, 0, WasKept ? 0U : 1U, 0, 0};
-  const auto Note = [&](bool Answered) {
-    Seen.Failed = Answered ? 0 : 1;
+  ConnectionPtr Conn = Options.FreshConnection ? nullptr : Pool->takeIdle(To);
+  const bool Reused = Conn != nullptr;
+  TrafficCounts Counts{1, 0, Reused ? 0U : 1U, 0, 0};
+  const auto Record = [&](bool Answered) {
+    Counts.Failed = Answered ? 0 : 1;
     if (Pool->Meter && !Options.Kind.empty())
-      Pool->Meter->record(Options.Kind, Seen);
+      Pool->Meter->record(Options.Kind, Counts);
   };
-  if (!WasKept) {
+  if (!Reused) {
     Result<ConnectionPtr> Made = co_await Pool->connect(To, Options.Timeout);
     if (!ok(Made)) {
-      Note(false);
+      Record(false);
       co_return error(Made);
     }
-    Used = value(Made);
+    Conn = value(Made);
   }
   Parser Into;
   Into.body_limit(Options.MaxResponseBytes);
   Into.skip(Request.Method == "HEAD");
-  const auto Message = wholeMessage(To, std::move(Request));
+  const auto Message = toBeastRequest(To, std::move(Request));
   boost::system::error_code Failure;
   {
-    const TimedCall Timed(Pool->Ending, Used, Deadline, co_await asio::this_coro::executor);
-    Failure = co_await exchange(*Used, Message, Into, Seen);
+    const TimedCall Timed(Pool->CallDeadlines, Conn, Deadline, co_await asio::this_coro::executor);
+    Failure = co_await exchange(*Conn, Message, Into, Counts);
   }
-  Note(Into.is_done());
+  Record(Into.is_done());
   if (!Into.is_done()) {
-    if (WasKept && Used->TimedOut)
-      Pool->forget(To, Deadline - Options.Timeout);
-    Used->abort();
+    if (Reused && Conn->TimedOut)
+      Pool->closeIdleBefore(To, Deadline - Options.Timeout);
+    Conn->abort();
     co_return Error{ErrorKind::UpstreamCut,
                     "the answer of " + toString(To) + " is lost: " + Failure.message()};
   }
   if (Into.keep_alive() && !Failure)
-    Pool->keep(Used);
-  co_return wholeAnswer(Into.release());
+    Pool->returnIdle(Conn);
+  co_return toHttpResponse(Into.release());
 }
 
 } // namespace valveshelf
--- a/src/http/client_bench.cpp
+++ b/src/http/client_bench.cpp
@@ -13,7 +13,7 @@
 namespace {
 namespace asio = boost::asio;
 
-constexpr size_t CallsTogether = 16;
+constexpr size_t ConcurrentCalls = 16;
 
 Awaitable<void> answerOrder(HttpExchange &Exchange) {
   std::array<char, 1024> Room;
@@ -41,7 +41,7 @@
                           {{"Content-Type", "application/json"}, {"Expect-Life", "i-0001"}},
                           std::string(250, 'x')};
   for (auto _ : State) {
-    for (size_t I = 0; I < CallsTogether; ++I)
+    for (size_t I = 0; I < ConcurrentCalls; ++I)
       asio::co_spawn(
           Io,
           [&]() -> Awaitable<void> {
@@ -53,7 +53,7 @@
     Io.restart();
     Io.run();
   }
-  State.SetItemsProcessed(static_cast<int64_t>(State.iterations() * CallsTogether));
+  State.SetItemsProcessed(static_cast<int64_t>(State.iterations() * ConcurrentCalls));
   ServerIo.stop();
   Serving.join();
 }
--- a/src/http/client_test.cpp
+++ b/src/http/client_test.cpp
@@ -52,14 +52,14 @@
 
 // Answers like the one above until it is told to be silent: what was open then never answers again,
 // and new connections do.
-class SilencedServer {
+class StallingServer {
 public:
-  explicit SilencedServer(asio::io_context &Io)
+  explicit StallingServer(asio::io_context &Io)
       : Acceptor(Io, {asio::ip::make_address("127.0.0.1"), 0}) {
     asio::co_spawn(Io, accept(), asio::detached);
   }
   Endpoint address() const { return {"127.0.0.1", Acceptor.local_endpoint().port()}; }
-  void silenceOpen() { SilentThrough = Accepted; }
+  void stallOpenConnections() { LastStalled = Accepted; }
   int Accepted = 0;
 
 private:
@@ -77,7 +77,7 @@
       if (Failure)
         break;
       Read.erase(0, Size);
-      if (Number <= SilentThrough)
+      if (Number <= LastStalled)
         continue;
       // In pieces, so that an answer is put together.
       for (const std::string_view Piece :
@@ -90,94 +90,94 @@
     }
   }
   tcp::acceptor Acceptor;
-  int SilentThrough = 0;
+  int LastStalled = 0;
 };
 
-struct Bench {
+struct ClientFixture {
   asio::io_context Io;
   HttpClient Client;
-  explicit Bench(size_t MaxIdle) : Client(Io.get_executor(), {true, MaxIdle}) {}
+  explicit ClientFixture(size_t MaxIdle) : Client(Io.get_executor(), {true, MaxIdle}) {}
 
   int send(const Endpoint &To, Milliseconds Timeout = 2000ms) {
     int Status = 0;
-    bool Over = false;
+    bool Completed = false;
     CallOptions Options;
     Options.Timeout = Timeout;
     asio::co_spawn(Io, Client.send(To, {"GET", "/", {}, ""}, Options),
                    [&](std::exception_ptr, Result<HttpResponse> Answer) {
                      Status = ok(Answer) ? value(Answer).Status : 0;
-                     Over = true;
+                     Completed = true;
                    });
     const TimePoint Limit = Steady::now() + 5s;
-    while (!Over && Steady::now() < Limit)
+    while (!Completed && Steady::now() < Limit)
       Io.run_one_for(10ms);
     return Status;
   }
-  void settle(const std::function<bool()> &Holds) {
+  void runUntil(const std::function<bool()> &Condition) {
     const TimePoint Limit = Steady::now() + 5s;
-    while (!Holds() && Steady::now() < Limit)
+    while (!Condition() && Steady::now() < Limit)
       Io.run_one_for(5ms);
   }
 };
 
-TEST(HttpClient, UsesAKeptConnectionAgain) {
-  Bench Given(8);
-  CountingServer Server(Given.Io);
-  EXPECT_EQ(Given.send(Server.address()), 200);
-  EXPECT_EQ(Given.send(Server.address()), 200);
+TEST(HttpClient, ReusesIdleConnection) {
+  ClientFixture Fixture(8);
+  CountingServer Server(Fixture.Io);
+  EXPECT_EQ(Fixture.send(Server.address()), 200);
+  EXPECT_EQ(Fixture.send(Server.address()), 200);
   EXPECT_EQ(Server.Accepted, 1);
 }
 
-TEST(HttpClient, PutsAnAnswerTogetherThatComesInPieces) {
-  Bench Given(8);
-  SilencedServer Server(Given.Io);
-  EXPECT_EQ(Given.send(Server.address()), 200);
-  EXPECT_EQ(Given.send(Server.address()), 200);
+TEST(HttpClient, ReassemblesResponseFromSeveralReads) {
+  ClientFixture Fixture(8);
+  StallingServer Server(Fixture.Io);
+  EXPECT_EQ(Fixture.send(Server.address()), 200);
+  EXPECT_EQ(Fixture.send(Server.address()), 200);
   EXPECT_EQ(Server.Accepted, 1);
 }
 
-TEST(HttpClient, EndsACallOnASilentConnectionInTime) {
-  Bench Given(8);
-  SilencedServer Server(Given.Io);
-  EXPECT_EQ(Given.send(Server.address()), 200);
-  Server.silenceOpen();
+TEST(HttpClient, TimesOutOnUnresponsiveConnection) {
+  ClientFixture Fixture(8);
+  StallingServer Server(Fixture.Io);
+  EXPECT_EQ(Fixture.send(Server.address()), 200);
+  Server.stallOpenConnections();
   const TimePoint Begun = Steady::now();
-  EXPECT_EQ(Given.send(Server.address(), 100ms), 0);
+  EXPECT_EQ(Fixture.send(Server.address(), 100ms), 0);
   EXPECT_LT(Steady::now() - Begun, 1s);
-  EXPECT_EQ(Given.send(Server.address(), 100ms), 200);
+  EXPECT_EQ(Fixture.send(Server.address(), 100ms), 200);
   EXPECT_EQ(Server.Accepted, 2);
 }
 
 // Connections go silent together; one call's time out is enough to know.
-TEST(HttpClient, ASilentConnectionTakesTheOtherKeptOnesWithIt) {
-  Bench Given(8);
-  SilencedServer Server(Given.Io);
-  int Over = 0;
+TEST(HttpClient, TimeoutClosesOtherIdleConnections) {
+  ClientFixture Fixture(8);
+  StallingServer Server(Fixture.Io);
+  int Completed = 0;
   for (int I = 0; I < 3; ++I)
-    asio::co_spawn(Given.Io, Given.Client.send(Server.address(), {"GET", "/", {}, ""}),
-                   [&](std::exception_ptr, Result<HttpResponse>) { ++Over; });
-  Given.settle([&] { return Over == 3; });
+    asio::co_spawn(Fixture.Io, Fixture.Client.send(Server.address(), {"GET", "/", {}, ""}),
+                   [&](std::exception_ptr, Result<HttpResponse>) { ++Completed; });
+  Fixture.runUntil([&] { return Completed == 3; });
   ASSERT_EQ(Server.Accepted, 3);
-  Server.silenceOpen();
-  EXPECT_EQ(Given.send(Server.address(), 100ms), 0);
-  EXPECT_EQ(Given.send(Server.address(), 100ms), 200);
+  Server.stallOpenConnections();
+  EXPECT_EQ(Fixture.send(Server.address(), 100ms), 0);
+  EXPECT_EQ(Fixture.send(Server.address(), 100ms), 200);
   EXPECT_EQ(Server.Accepted, 4);
 }
 
-TEST(HttpClient, ClosesTheConnectionThatWasIdleLongest) {
-  Bench Given(2);
-  CountingServer First(Given.Io);
-  CountingServer Second(Given.Io);
-  CountingServer Third(Given.Io);
-  EXPECT_EQ(Given.send(First.address()), 200);
-  EXPECT_EQ(Given.send(Second.address()), 200);
-  EXPECT_EQ(Given.send(First.address()), 200); // now the second is the oldest
-  EXPECT_EQ(Given.send(Third.address()), 200);
-  Given.settle([&] { return Second.Open == 0; });
+TEST(HttpClient, EvictsConnectionIdleLongest) {
+  ClientFixture Fixture(2);
+  CountingServer First(Fixture.Io);
+  CountingServer Second(Fixture.Io);
+  CountingServer Third(Fixture.Io);
+  EXPECT_EQ(Fixture.send(First.address()), 200);
+  EXPECT_EQ(Fixture.send(Second.address()), 200);
+  EXPECT_EQ(Fixture.send(First.address()), 200); // now the second is the oldest
+  EXPECT_EQ(Fixture.send(Third.address()), 200);
+  Fixture.runUntil([&] { return Second.Open == 0; });
   EXPECT_EQ(First.Open, 1);
   EXPECT_EQ(Second.Open, 0);
   EXPECT_EQ(Third.Open, 1);
-  EXPECT_EQ(Given.send(Second.address()), 200);
+  EXPECT_EQ(Fixture.send(Second.address()), 200);
   EXPECT_EQ(Second.Accepted, 2);
 }
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -26,7 +26,7 @@
 // A connection that has carried nothing yet gets so long for its first request once nothing more is
 // accepted: its caller has been let in, and may have sent it. One that is closed leaves a caller
 // that does not know whether its request ran (one request in 36 planned stops under four callers).
-constexpr Milliseconds FreshWait{200};
+constexpr Milliseconds FirstRequestTimeout{200};
 
 // One request as the handler sees it.
 class ServerExchange final : public HttpExchange {
@@ -135,7 +135,7 @@
   bool finished() const { return Finished; }
   bool headSent() const { return HeadSent; }
   bool keepAlive() const { return KeepAlive; }
-  void closeAfter() { KeepAlive = false; }
+  void closeAfterResponse() { KeepAlive = false; }
 
 private:
   Awaitable<bool> sendContinue() {
@@ -173,9 +173,9 @@
 
 class HttpServer::Impl : public std::enable_shared_from_this<HttpServer::Impl> {
 public:
-  Impl(Executor Where, Endpoint Address, HttpServerLimits Limits, HttpHandler Handler)
-      : Where(Where), Address(std::move(Address)), Limits(Limits), Handler(std::move(Handler)),
-        Acceptor(asio::make_strand(Where)) {}
+  Impl(Executor Exec, Endpoint Address, HttpServerLimits Limits, HttpHandler Handler)
+      : Exec(Exec), Address(std::move(Address)), Limits(Limits), Handler(std::move(Handler)),
+        Acceptor(asio::make_strand(Exec)) {}
 
   Result<Done> start() {
     boost::system::error_code Failure;
@@ -195,52 +195,52 @@
     return Done{};
   }
 
-  void beginDrain() { Leaving = true; }
+  void beginDrain() { Draining = true; }
 
   void stopAccepting() {
-    IsClosing = true;
-    Draining = true;
+    IsAcceptingBacklog = true;
+    Stopping = true;
     asio::post(Acceptor.get_executor(), [Self = shared_from_this()] { Self->closeAcceptor(); });
     std::lock_guard Lock(Mutex);
     for (const auto &[Number, Waiting] : Idle)
-      asio::co_spawn(
-          Waiting.Stream->get_executor(),
-          closeIfIdle(shared_from_this(), Number, Waiting.IsFresh ? FreshWait : Milliseconds(0)),
-          asio::detached);
+      asio::co_spawn(Waiting.Stream->get_executor(),
+                     closeIfIdle(shared_from_this(), Number,
+                                 Waiting.IsNew ? FirstRequestTimeout : Milliseconds(0)),
+                     asio::detached);
   }
 
   size_t inProgress() const {
     std::lock_guard Lock(Mutex);
-    const auto Fresh = std::count_if(Idle.begin(), Idle.end(),
-                                     [](const auto &Entry) { return Entry.second.IsFresh; });
-    const size_t NotRead = static_cast<size_t>(Fresh) + Starting + (IsClosing ? 1 : 0);
-    return Active + (Draining ? NotRead : 0);
+    const auto NewCount = std::count_if(Idle.begin(), Idle.end(),
+                                        [](const auto &Entry) { return Entry.second.IsNew; });
+    const size_t Unserved = static_cast<size_t>(NewCount) + Starting + (IsAcceptingBacklog ? 1 : 0);
+    return Active + (Stopping ? Unserved : 0);
   }
 
 private:
   static Awaitable<void> acceptLoop(std::shared_ptr<Impl> Self) {
     while (Self->Acceptor.is_open()) {
       auto [Failure, Socket] =
-          co_await Self->Acceptor.async_accept(asio::make_strand(Self->Where), AsTuple);
+          co_await Self->Acceptor.async_accept(asio::make_strand(Self->Exec), AsTuple);
       if (Failure) {
-        if (Self->Draining || Failure == asio::error::operation_aborted)
+        if (Self->Stopping || Failure == asio::error::operation_aborted)
           co_return;
         // Out of descriptors, usually: let connections end before trying again.
         SteadyTimer Pause(co_await asio::this_coro::executor, Milliseconds(20));
         co_await Pause.async_wait(AsTuple);
         continue;
       }
-      Self->take(std::move(Socket));
+      Self->startConnection(std::move(Socket));
     }
   }
 
-  void take(tcp::socket Socket) {
+  void startConnection(tcp::socket Socket) {
     if (Connections >= Limits.MaxConnections)
       return;
     Socket.set_option(tcp::no_delay(true));
-    const auto On = Socket.get_executor();
+    const auto Strand = Socket.get_executor();
     ++Starting;
-    asio::co_spawn(On, serveConnection(shared_from_this(), std::move(Socket)), asio::detached);
+    asio::co_spawn(Strand, serveConnection(shared_from_this(), std::move(Socket)), asio::detached);
   }
 
   // Whom the kernel has let in already is served; the end of the listening socket would reset them.
@@ -248,13 +248,13 @@
     boost::system::error_code Failure;
     Acceptor.non_blocking(true, Failure);
     while (!Failure) {
-      tcp::socket Socket(asio::make_strand(Where));
+      tcp::socket Socket(asio::make_strand(Exec));
       Acceptor.accept(Socket, Failure);
       if (!Failure)
-        take(std::move(Socket));
+        startConnection(std::move(Socket));
     }
     Acceptor.close(Failure);
-    IsClosing = false;
+    IsAcceptingBacklog = false;
   }
 
   static Awaitable<void> closeIfIdle(std::shared_ptr<Impl> Self, uint64_t Number,
@@ -267,12 +267,12 @@
       Found->second.Stream->cancel();
   }
 
-  uint64_t noteIdle(beast::tcp_stream &Stream, bool IsFresh) {
+  uint64_t addIdle(beast::tcp_stream &Stream, bool IsNew) {
     std::lock_guard Lock(Mutex);
-    Idle[++LastIdle] = {&Stream, IsFresh};
-    return LastIdle;
+    Idle[++LastIdleId] = {&Stream, IsNew};
+    return LastIdleId;
   }
-  void noteBusy(uint64_t Number) {
+  void removeIdle(uint64_t Number) {
     std::lock_guard Lock(Mutex);
     Idle.erase(Number);
   }
@@ -289,42 +289,42 @@
     --Self->Connections;
   }
 
-  // Returns true if the connection can take another request.
-  Awaitable<bool> serveOne(beast::tcp_stream &Stream, beast::flat_buffer &Buffer, bool IsFresh) {
+  // Returns true if the connection can startConnection another request.
+  Awaitable<bool> serveOne(beast::tcp_stream &Stream, beast::flat_buffer &Buffer, bool IsNew) {
     RequestParser Parser;
     Parser.header_limit(static_cast<uint32_t>(Limits.MaxHeaderBytes));
     Parser.body_limit(boost::none);
-    // Noted before the look at Draining, so that a stop meanwhile sees it one way or the other.
-    const uint64_t Number = noteIdle(Stream, IsFresh);
-    Starting -= IsFresh ? 1 : 0;
-    if (Draining && !IsFresh && Buffer.size() == 0) {
-      noteBusy(Number);
+    // Noted before the look at Stopping, so that a stop meanwhile sees it one way or the other.
+    const uint64_t Number = addIdle(Stream, IsNew);
+    Starting -= IsNew ? 1 : 0;
+    if (Stopping && !IsNew && Buffer.size() == 0) {
+      removeIdle(Number);
       co_return false;
     }
-    Stream.expires_after(Draining ? FreshWait : Limits.HeaderTimeout);
+    Stream.expires_after(Stopping ? FirstRequestTimeout : Limits.HeaderTimeout);
     auto [Failure, Bytes] = co_await http::async_read_header(Stream, Buffer, Parser, AsTuple);
     if (!Failure)
       ++Active; // before it leaves the idle ones, so that a stop never finds neither
-    noteBusy(Number);
+    removeIdle(Number);
     if (Failure)
-      co_return co_await refuse(Stream, Buffer, Parser, Failure);
+      co_return co_await rejectRequest(Stream, Buffer, Parser, Failure);
     ServerExchange Exchange(Stream, Buffer, Parser, Limits.BodyTimeout);
-    if (Draining || Leaving)
-      Exchange.closeAfter();
-    co_await answer(Exchange, Parser);
+    if (Stopping || Draining)
+      Exchange.closeAfterResponse();
+    co_await dispatch(Exchange, Parser);
     --Active;
     co_return Exchange.finished() && Exchange.keepAlive();
   }
 
-  Awaitable<void> answer(ServerExchange &Exchange, const RequestParser &Parser) {
+  Awaitable<void> dispatch(ServerExchange &Exchange, const RequestParser &Parser) {
     if (!isAmbiguous(Parser))
-      co_return co_await handled(Exchange);
-    Exchange.closeAfter();
+      co_return co_await runHandler(Exchange);
+    Exchange.closeAfterResponse();
     const Error Bad{ErrorKind::BadRequest, "the framing of the request is ambiguous"};
     co_await sendWhole(Exchange, errorResponse(Bad));
   }
 
-  Awaitable<void> handled(ServerExchange &Exchange) {
+  Awaitable<void> runHandler(ServerExchange &Exchange) {
     std::string Fault;
     try {
       co_await Handler(Exchange);
@@ -337,14 +337,15 @@
     co_await sendWhole(Exchange, std::move(Answer));
   }
 
-  Awaitable<bool> refuse(beast::tcp_stream &Stream, beast::flat_buffer &Buffer,
-                         RequestParser &Parser, boost::system::error_code Failure) {
-    const bool Quiet = Failure == http::error::end_of_stream || Failure == beast::error::timeout ||
-                       Failure.category() != make_error_code(http::error::bad_target).category();
-    if (Quiet)
+  Awaitable<bool> rejectRequest(beast::tcp_stream &Stream, beast::flat_buffer &Buffer,
+                                RequestParser &Parser, boost::system::error_code Failure) {
+    const bool ClosesSilently =
+        Failure == http::error::end_of_stream || Failure == beast::error::timeout ||
+        Failure.category() != make_error_code(http::error::bad_target).category();
+    if (ClosesSilently)
       co_return false;
     ServerExchange Exchange(Stream, Buffer, Parser, Limits.BodyTimeout);
-    Exchange.closeAfter();
+    Exchange.closeAfterResponse();
     HttpResponse Answer = errorResponse({ErrorKind::BadRequest, Failure.message()});
     if (Failure == http::error::header_limit)
       Answer.Status = 431;
@@ -352,29 +353,30 @@
     co_return false;
   }
 
-  const Executor Where;
+  const Executor Exec;
   const Endpoint Address;
   const HttpServerLimits Limits;
   const HttpHandler Handler;
   tcp::acceptor Acceptor;
-  std::atomic<bool> Leaving{false};
   std::atomic<bool> Draining{false};
-  std::atomic<bool> IsClosing{false}; ///< Connections that the kernel holds are being taken.
+  std::atomic<bool> Stopping{false};
+  std::atomic<bool> IsAcceptingBacklog{
+      false}; ///< Connections that the kernel holds are being taken.
   std::atomic<size_t> Connections{0};
   std::atomic<size_t> Starting{0}; ///< Accepted, and not among the idle ones yet.
   std::atomic<size_t> Active{0};
   struct IdleConnection {
     beast::tcp_stream *Stream = nullptr;
-    bool IsFresh = false; ///< It has carried no request yet.
+    bool IsNew = false; ///< It has carried no request yet.
   };
   mutable std::mutex Mutex;
   std::map<uint64_t, IdleConnection> Idle; ///< Those that wait for a head. Guarded by Mutex.
-  uint64_t LastIdle = 0;                   ///< Guarded by Mutex.
+  uint64_t LastIdleId = 0;                 ///< Guarded by Mutex.
 };
 
-HttpServer::HttpServer(Executor Where, Endpoint Address, HttpServerLimits Limits,
+HttpServer::HttpServer(Executor Exec, Endpoint Address, HttpServerLimits Limits,
                        HttpHandler Handler)
-    : Inner(std::make_shared<Impl>(Where, std::move(Address), Limits, std::move(Handler))) {}
+    : Inner(std::make_shared<Impl>(Exec, std::move(Address), Limits, std::move(Handler))) {}
 HttpServer::~HttpServer() { Inner->stopAccepting(); }
 Result<Done> HttpServer::start() { return Inner->start(); }
 void HttpServer::beginDrain() { Inner->beginDrain(); }
--- a/src/http/server_test.cpp
+++ b/src/http/server_test.cpp
@@ -62,7 +62,7 @@
 // after the signal and sent its request; the answer was a reset within a millisecond:
 //   began ...017 status 0 cut; stopping 52:00.014, stopped 52:00.058 requests_cut=0
 // The kernel had let the connection in, and the end of the listening socket reset it unread.
-TEST_F(HttpServerTest, ServesWhomTheKernelHasLetIn) {
+TEST_F(HttpServerTest, ServesConnectionsInAcceptBacklog) {
   tcp::socket Caller = connect();
   asio::write(Caller, asio::buffer(Request));
   Server.stopAccepting();
@@ -77,7 +77,7 @@
 }
 
 // The connection was accepted, and its request is under way when the server stops.
-TEST_F(HttpServerTest, ServesTheFirstRequestOfAConnectionThatWasAccepted) {
+TEST_F(HttpServerTest, ServesFirstRequestOfAcceptedConnection) {
   tcp::socket Caller = connect();
   runFor(20ms);
   Server.stopAccepting();
@@ -89,7 +89,7 @@
   EXPECT_EQ(Server.inProgress(), 0u);
 }
 
-TEST_F(HttpServerTest, AConnectionThatSaysNothingDoesNotHoldUpTheStop) {
+TEST_F(HttpServerTest, SilentConnectionDoesNotDelayStop) {
   tcp::socket Caller = connect();
   runFor(20ms);
   Server.stopAccepting();
@@ -98,7 +98,7 @@
   EXPECT_EQ(received(Caller), "End of file");
 }
 
-TEST_F(HttpServerTest, AConnectionBetweenRequestsIsClosedAtOnce) {
+TEST_F(HttpServerTest, ClosesIdleConnectionsAtOnce) {
   tcp::socket Caller = connect();
   asio::write(Caller, asio::buffer(Request));
   runFor(50ms);
--- a/src/include/valveshelf/http.h
+++ b/src/include/valveshelf/http.h
@@ -112,7 +112,7 @@
 class HttpServer {
 public:
   /// Opens nothing yet. \p Handler is called once a request, concurrently.
-  HttpServer(Executor Where, Endpoint Address, HttpServerLimits Limits, HttpHandler Handler);
+  HttpServer(Executor Exec, Endpoint Address, HttpServerLimits Limits, HttpHandler Handler);
   ~HttpServer();
   HttpServer(const HttpServer &) = delete;
   HttpServer &operator=(const HttpServer &) = delete;
@@ -167,7 +167,7 @@
 class HttpClient {
 public:
   /// \p Meter counts whole calls, outlives the client and may be null.
-  explicit HttpClient(Executor Where, HttpClientLimits Limits = {}, TrafficMeter *Meter = nullptr);
+  explicit HttpClient(Executor Exec, HttpClientLimits Limits = {}, TrafficMeter *Meter = nullptr);
   ~HttpClient();
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
