--- a/src/config/cell_config.cpp
+++ b/src/config/cell_config.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The schema of a partner's part of the configuration, and its form in the store.
+// Schema of a partner's part of the cell configuration, and the JSON form of the whole in the
+// store.
 #include "valveshelf/cell_config.h"
 
 #include "config/toml_reader.h"
@@ -92,7 +93,8 @@
                       Object.at("version").to_number<uint64_t>(),
                       std::string(Object.at("change").as_string())};
   } catch (const std::exception &) {
-    return Error{ErrorKind::BadSettings, "a part of the stored configuration can't be read"};
+    return Error{ErrorKind::BadSettings,
+                 "part of the stored configuration lacks a valid 'text', 'version' or 'change'"};
   }
 }
 
@@ -127,7 +129,8 @@
   boost::json::error_code Failure;
   const boost::json::value Root =
       boost::json::parse(boost::json::string_view(Text.data(), Text.size()), Failure);
-  const Error Wrong{ErrorKind::BadSettings, "the stored configuration can't be read"};
+  const Error Wrong{ErrorKind::BadSettings,
+                    "stored configuration is not a JSON object with 'version' and 'parts'"};
   if (Failure || !Root.is_object())
     return Wrong;
   const auto *Version = Root.as_object().if_contains("version");
--- a/src/config/cell_settings.cpp
+++ b/src/config/cell_settings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The schema of the settings of `valveshelf serve`.
+// Schema and parser of the settings file of `valveshelf serve`.
 #include "valveshelf/cell_settings.h"
 
 #include "config/toml_reader.h"
@@ -46,7 +46,7 @@
   Settings.SubmitTimeout = Table.duration("submit_limit", Settings.SubmitTimeout, 100ms, 1min);
 }
 
-// What the platform promises about its parts.
+// Time bounds that the platform guarantees, such as its longest worker lease.
 void readBounds(TomlReader &Table, CellSettings &Settings) {
   sched::SchedulerLimits &Limits = Settings.Scheduler;
   const Milliseconds MaxLease = Table.duration("longest_worker_lease", 6s, 1s, 10min);
--- a/src/config/config_keeper.cpp
+++ b/src/config/config_keeper.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Taking in and changing the operators' configuration.
+// Adopts newer versions of the operators' configuration from the store and from peers, and applies
+// changes by compare-and-swap in the store.
 #include "valveshelf/config_keeper.h"
 
 #include "valveshelf/events.h"
@@ -98,7 +99,7 @@
       co_return Last;
     const ErrorKind Kind = error(Last).Kind;
     MayHaveWritten = MayHaveWritten || Kind == ErrorKind::OutcomeUnknown;
-    // The part itself is unchanged if only the other partner's change came between.
+    // A conflict without "won" is a concurrent change of another partner's part: try again.
     const bool PartChanged =
         Kind == ErrorKind::Conflict && error(Last).Detail.find("won") != std::string::npos;
     if (PartChanged && !MayHaveWritten)
@@ -111,8 +112,8 @@
   }
   if (!MayHaveWritten)
     co_return Last;
-  co_return Error{ErrorKind::OutcomeUnknown, "it is not certain that change " + Change.Id +
-                                                 " was accepted; ask for it by its id"};
+  co_return Error{ErrorKind::OutcomeUnknown,
+                  "outcome of change " + Change.Id + " is unknown; query the change by its id"};
 }
 
 Awaitable<Result<uint64_t>> ConfigKeeper::resolve(std::string Partner, std::string Id) {
@@ -126,7 +127,7 @@
       co_return Part->second.Version;
   }
   co_return Error{ErrorKind::NotFound,
-                  "change " + Id + " is not the last of " + Partner + "'s part"};
+                  "change " + Id + " is not the latest change of " + Partner + "'s part"};
 }
 
 } // namespace valveshelf
--- a/src/config/entry_settings.cpp
+++ b/src/config/entry_settings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The schema of the entry process's settings file.
+// Schema and parser of the settings file of an entry process.
 #include "config/toml_reader.h"
 #include "valveshelf/settings.h"
 
--- a/src/config/settings_test.cpp
+++ b/src/config/settings_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Settings: the examples pass, and everything wrong is reported at once with its place.
+// The example files are valid, and one pass over a bad file reports all errors with their
+// positions.
 #include "valveshelf/cell_config.h"
 #include "valveshelf/settings.h"
 
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The typed reads of TomlReader; each reports what is accepted when the value is not.
+// Typed accessors of TomlReader. Each error message says which values are accepted.
 #include "config/toml_reader.h"
 
 #include <charconv>
@@ -12,7 +12,8 @@
   int64_t Factor;
 };
 
-// Splits "250ms" into 250 and the factor of its unit; empty if it is not of that form.
+// Returns the amount times the factor of its unit: 3000 for "3s" in milliseconds. Empty if the
+// text has another form or an unknown unit, or if the product overflows.
 std::optional<int64_t> parseWithUnit(const std::string &Text, std::initializer_list<Unit> Units) {
   int64_t Amount = 0;
   const auto [End, Code] = std::from_chars(Text.data(), Text.data() + Text.size(), Amount);
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Reads TOML tables against a schema and gathers every error with its place.
+// Reads TOML tables against a schema and collects all errors with their positions in the file.
+// Used by the parsers of process settings and of a partner's configuration.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -18,7 +19,7 @@
 
 namespace valveshelf {
 
-/// Gathers the errors of one file.
+/// Collects the errors of one file.
 struct TomlErrors {
   std::string File;
   std::vector<SettingsError> Errors;
@@ -26,12 +27,15 @@
   void add(const toml::source_region &Where, const std::string &Field, const std::string &Problem);
 };
 
-/// Reads one table. Every key that is asked for is known; `finish` reports the others.
+/// Reads one table. An accessor that finds a wrong value reports it and returns the default, so
+/// that one pass finds all errors. Keys that no accessor has read are unknown; `finish` reports
+/// them. References the table and the errors, which must outlive it. Not thread safe.
 class TomlReader {
 public:
   TomlReader(const toml::table &Table, std::string Prefix, TomlErrors &Errors)
       : Table(Table), Prefix(std::move(Prefix)), Errors(Errors) {}
 
+  /// A string that is not empty. A key without a default is required, here and below.
   std::string text(std::string_view Key, std::optional<std::string> Default);
   std::string oneOf(std::string_view Key, std::optional<std::string> Default,
                     const std::vector<std::string> &Accepted);
@@ -39,26 +43,30 @@
                   int64_t Most);
   double number(std::string_view Key, std::optional<double> Default, double Least, double Most);
   bool boolean(std::string_view Key, bool Default);
-  /// A duration as "250ms", "3s", "10m" or "8h".
+  /// A duration such as "250ms", "3s", "10m" or "8h".
   Milliseconds duration(std::string_view Key, std::optional<Milliseconds> Default,
                         Milliseconds Least, Milliseconds Most);
-  /// A size as "16KiB", "8MiB" or "1GiB", in bytes.
+  /// A size such as "16KiB", "8MiB" or "1GiB", in bytes.
   int64_t bytes(std::string_view Key, int64_t Default, int64_t Least, int64_t Most);
+  /// An address `IP:PORT`; empty if the key is absent or wrong.
   Endpoint endpoint(std::string_view Key, bool Required);
+  /// A label selector; empty if the key is absent or wrong.
   Selector selector(std::string_view Key);
+  /// A sub-table with `milli_cores`, `memory_mb` and `accelerators`, each optional.
   Resources resources(std::string_view Key, Resources Default);
+  /// A sub-table whose values are all strings.
   std::map<std::string, std::string> strings(std::string_view Key);
-  /// Calls \p Read with the sub-table, or reports that it is missing.
+  /// Calls \p Read with the sub-table, or reports it as missing if \p Required.
   void table(std::string_view Key, bool Required, const std::function<void(TomlReader &)> &Read);
-  /// Calls \p Read for each table of an array of tables.
+  /// Calls \p Read for each element of the array of tables \p Key.
   void tables(std::string_view Key, const std::function<void(TomlReader &)> &Read);
-  /// Calls \p Read for each named sub-table of table \p Key.
+  /// Calls \p Read with the name of each sub-table of table \p Key and the sub-table.
   void namedTables(std::string_view Key,
                    const std::function<void(const std::string &, TomlReader &)> &Read);
 
-  /// Reports \p Problem at \p Key, or at the table if the key is absent.
+  /// Reports \p Problem at \p Key, or at the start of the table if the key is absent.
   void reportError(std::string_view Key, const std::string &Problem);
-  /// Reports unknown keys. Call last.
+  /// Reports keys that no accessor has read. Call last.
   void finish();
 
 private:
@@ -68,7 +76,7 @@
   const toml::table &Table;
   std::string Prefix;
   TomlErrors &Errors;
-  std::set<std::string> Known;
+  std::set<std::string> Known; ///< Keys that an accessor has read.
 };
 
 } // namespace valveshelf
--- a/src/include/valveshelf/settings.h
+++ b/src/include/valveshelf/settings.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A process's own settings, read from TOML and checked whole before anything starts.
+// Settings of one process, read from a TOML file and validated completely before it starts.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -14,36 +14,36 @@
 
 namespace valveshelf {
 
-/// One thing that is wrong in a settings file.
+/// One error in a settings file.
 struct SettingsError {
   std::string File;
-  int Line = 0;
+  int Line = 0; ///< From 1, as is the column.
   int Column = 0;
-  std::string Field;
-  std::string Problem; ///< What is wrong and what is accepted.
+  std::string Field;   ///< Dotted path of the key, such as `timing.lease`.
+  std::string Problem; ///< What is wrong and which values are accepted.
 };
 
-/// `FILE:LINE:COLUMN: error: FIELD: what is wrong and what is accepted`.
+/// Formats an error as `FILE:LINE:COLUMN: error: FIELD: PROBLEM`.
 std::string toString(const SettingsError &Value);
 
-/// All that is wrong, in the order of the file.
+/// All errors of a file.
 using SettingsErrors = std::vector<SettingsError>;
 
-/// The times that ownership, membership and recovery are built from.
+/// Timing of ownership, membership and recovery.
 struct Timing {
-  Milliseconds Lease{3000};         ///< Shortest life of a process's lease in the store. It grows
-                                    ///< with the fleet so that renewals stay within the budget.
-  Milliseconds Promise{3000};       ///< How long a peer's promise holds.
-  Milliseconds Margin{300};         ///< Taken off every lease for clock rates and delays.
-  Milliseconds Gossip{500};         ///< Between two exchanges with peers while there is news.
-  Milliseconds StoreTimeout{1000};  ///< For one call to the store.
-  Milliseconds TaskLease{60000};    ///< How long a worker runs a task without word from us.
-  Milliseconds WorkerPoll{5000};    ///< Longest wait of one call to a worker for news.
-  Milliseconds WorkerTimeout{1500}; ///< For one call to a worker beyond the wait it asked for.
+  Milliseconds Lease{3000};   ///< Minimum duration of a process's lease in the store. Grows with
+                              ///< the number of processes, to bound the rate of renewals.
+  Milliseconds Promise{3000}; ///< Validity of a promise given by a peer.
+  Milliseconds Margin{300};   ///< Subtracted from each lease for clock drift and delays.
+  Milliseconds Gossip{500};   ///< Interval of exchanges with peers while there are updates.
+  Milliseconds StoreTimeout{1000};  ///< Timeout of one call to the store.
+  Milliseconds TaskLease{60000};    ///< How long a worker runs a task without a renewal.
+  Milliseconds WorkerPoll{5000};    ///< Longest wait of one long poll to a worker.
+  Milliseconds WorkerTimeout{1500}; ///< Timeout of a call to a worker, on top of its poll time.
   Milliseconds StopGrace{30000};    ///< How long a planned stop waits for work in progress.
 };
 
-/// What protects a process from its callers.
+/// Limits on requests from callers.
 struct IntakeLimits {
   int64_t MaxHeaderBytes = 16 * 1024;
   int64_t MaxJobBytes = 64 * 1024;
@@ -52,25 +52,25 @@
   Milliseconds BodyTimeout{30000};
 };
 
-/// Everything in the entry process's own file.
+/// Settings of an entry process.
 struct EntrySettings {
   std::string Member;  ///< Name of this process, unique in the cell.
-  std::string Partner; ///< Whose box this is.
+  std::string Partner; ///< Partner that owns the box.
   std::string Zone;    ///< Availability zone.
   Endpoint Callers, Operators, Peers;
   Endpoint Store, Boxes;
   std::string LogLevel;
-  uint32_t Shards = 16;         ///< Same in the whole cell; checked against the store.
-  double WritesPerSecond = 100; ///< What the store takes from the whole fleet.
-  double WriteShare = 0.8;      ///< Part of that which the fleet may plan to use.
+  uint32_t Shards = 16;         ///< Equal in the whole cell; checked against the store.
+  double WritesPerSecond = 100; ///< Write capacity of the store for all processes together.
+  double WriteShare = 0.8;      ///< Fraction of the capacity that the processes may use.
   unsigned Threads = 2;
   valveshelf::Timing Timing;
   IntakeLimits Limits;
-  std::map<std::string, std::string> OperatorTokens; ///< Partner to its operators' token.
+  std::map<std::string, std::string> OperatorTokens; ///< Token of the operators, by partner.
 };
 
-/// Parses and checks an entry file. \p File is used in errors only. On failure the variant
-/// holds every error found, not just the first.
+/// Parses and validates the settings of an entry process. \p File is the name used in errors.
+/// On failure returns all errors, in the order of the file.
 std::variant<EntrySettings, SettingsErrors> parseEntrySettings(std::string_view Text,
                                                                const std::string &File);
 
