--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -150,11 +150,11 @@
     const auto Found = Idle.find(To);
     if (Found == Idle.end())
       return nullptr;
-    auto &Kept = Found->second;
-    while (!Kept.empty()) {
-      ConnectionPtr Last = *Kept.back();
-      IdleByAge.erase(Kept.back());
-      Kept.pop_back();
+    auto &IdleConns = Found->second;
+    while (!IdleConns.empty()) {
+      ConnectionPtr Last = *IdleConns.back();
+      IdleByAge.erase(IdleConns.back());
+      IdleConns.pop_back();
       const auto IdleFor = Steady::now() - Last->IdleSince;
       if (IdleFor < MaxUncheckedIdleTime || (IdleFor < MaxIdleTime && Last->isOpenAndQuiet()))
         return Last;
@@ -164,13 +164,13 @@
 
   void returnIdle(ConnectionPtr Conn) {
     std::lock_guard Lock(Mutex);
-    auto &Kept = Idle[Conn->To];
-    if (Kept.size() >= MaxIdlePerEndpoint) {
-      IdleByAge.erase(Kept.front());
-      Kept.erase(Kept.begin());
+    auto &IdleConns = Idle[Conn->To];
+    if (IdleConns.size() >= MaxIdlePerEndpoint) {
+      IdleByAge.erase(IdleConns.front());
+      IdleConns.erase(IdleConns.begin());
     }
     Conn->IdleSince = Steady::now();
-    Kept.push_back(IdleByAge.insert(IdleByAge.end(), std::move(Conn)));
+    IdleConns.push_back(IdleByAge.insert(IdleByAge.end(), std::move(Conn)));
     if (IdleByAge.size() > Limits.MaxIdle)
       closeIdleLongest();
   }
@@ -183,10 +183,10 @@
     const auto Found = Idle.find(To);
     if (Found == Idle.end())
       return;
-    std::erase_if(Found->second, [&](const IdleList::iterator &Kept) {
-      const bool IsOld = (*Kept)->IdleSince < Before;
+    std::erase_if(Found->second, [&](const IdleList::iterator &Entry) {
+      const bool IsOld = (*Entry)->IdleSince < Before;
       if (IsOld)
-        IdleByAge.erase(Kept);
+        IdleByAge.erase(Entry);
       return IsOld;
     });
     if (Found->second.empty())
@@ -194,20 +194,21 @@
   }
 
   Awaitable<Result<ConnectionPtr>> connect(Endpoint To, Milliseconds Timeout) {
-    auto Made = std::make_shared<Connection>(Limits.OneThread ? Exec : asio::make_strand(Exec), To);
+    auto NewConn =
+        std::make_shared<Connection>(Limits.OneThread ? Exec : asio::make_strand(Exec), To);
     boost::system::error_code Bad;
     const tcp::endpoint Target(asio::ip::make_address(To.Host, Bad), To.Port);
-    Made->Stream.expires_after(Timeout);
-    auto [Failure] = co_await Made->Stream.async_connect(Target, AsTuple);
+    NewConn->Stream.expires_after(Timeout);
+    auto [Failure] = co_await NewConn->Stream.async_connect(Target, AsTuple);
     if (Failure) {
       const bool Refused = Failure == asio::error::connection_refused;
       co_return Error{ErrorKind::UpstreamUnavailable,
                       (Refused ? "connection refused by " : "no connection to ") + toString(To)};
     }
-    Made->Stream.expires_never();
-    Made->Stream.socket().set_option(tcp::no_delay(true));
-    Made->Stream.socket().non_blocking(true, Bad);
-    co_return Made;
+    NewConn->Stream.expires_never();
+    NewConn->Stream.socket().set_option(tcp::no_delay(true));
+    NewConn->Stream.socket().non_blocking(true, Bad);
+    co_return NewConn;
   }
 
   const Executor Exec;
@@ -218,11 +219,11 @@
 private:
   // Called under Mutex. Within an endpoint the first is idle longest.
   void closeIdleLongest() {
-    const auto Kept = Idle.find(IdleByAge.front()->To);
+    const auto Found = Idle.find(IdleByAge.front()->To);
     IdleByAge.pop_front();
-    Kept->second.erase(Kept->second.begin());
-    if (Kept->second.empty())
-      Idle.erase(Kept);
+    Found->second.erase(Found->second.begin());
+    if (Found->second.empty())
+      Idle.erase(Found);
   }
 
   std::mutex Mutex;
@@ -267,7 +268,7 @@
     Sent = true;
     auto [Failure, Bytes] = co_await http::async_write_header(Conn->Stream, Serializer, AsTuple);
     if (Failure)
-      co_return cut(Failure);
+      co_return responseLost(Failure);
     co_return Done{};
   }
 
@@ -286,7 +287,7 @@
       Failure = Code;
     }
     if (Failure)
-      co_return cut(Failure);
+      co_return responseLost(Failure);
     co_return Done{};
   }
 
@@ -296,7 +297,7 @@
     auto [Failure, Count] =
         co_await asio::async_write(Conn->Stream, http::make_chunk_last(), AsTuple);
     if (Failure)
-      co_return cut(Failure);
+      co_return responseLost(Failure);
     co_return Done{};
   }
 
@@ -309,7 +310,7 @@
     auto [Failure, Bytes] =
         co_await http::async_read_header(Conn->Stream, Conn->Buffer, *Parser, AsTuple);
     if (Failure)
-      co_return cut(Failure);
+      co_return responseLost(Failure);
     HttpResponse Head;
     Head.Status = static_cast<int>(Parser->get().result_int());
     for (const auto &Field : Parser->get())
@@ -329,7 +330,7 @@
       auto [Failure, Bytes] =
           co_await http::async_read(Conn->Stream, Conn->Buffer, *Parser, AsTuple);
       if (Failure && Failure != http::error::need_buffer)
-        co_return cut(Failure);
+        co_return responseLost(Failure);
       const size_t Read = Room.size() - Body.size;
       if (Read > 0)
         co_return Read;
@@ -341,7 +342,7 @@
   bool anySent() const override { return Sent; }
 
 private:
-  Error cut(boost::system::error_code Failure) const {
+  Error responseLost(boost::system::error_code Failure) const {
     return {ErrorKind::UpstreamCut,
             "the answer of " + toString(To) + " is lost: " + Failure.message()};
   }
@@ -367,10 +368,10 @@
   std::shared_ptr<Impl> Pool = Inner;
   ConnectionPtr Conn = Options.FreshConnection ? nullptr : Pool->takeIdle(To);
   if (!Conn) {
-    Result<ConnectionPtr> Made = co_await Pool->connect(To, Options.Timeout);
-    if (!ok(Made))
-      co_return error(Made);
-    Conn = value(Made);
+    Result<ConnectionPtr> NewConn = co_await Pool->connect(To, Options.Timeout);
+    if (!ok(NewConn))
+      co_return error(NewConn);
+    Conn = value(NewConn);
   }
   auto ReturnIdle = [Pool](ConnectionPtr Free) { Pool->returnIdle(std::move(Free)); };
   std::shared_ptr<HttpCall> Call =
@@ -498,12 +499,12 @@
       Pool->Meter->record(Options.Kind, Counts);
   };
   if (!Reused) {
-    Result<ConnectionPtr> Made = co_await Pool->connect(To, Options.Timeout);
-    if (!ok(Made)) {
+    Result<ConnectionPtr> NewConn = co_await Pool->connect(To, Options.Timeout);
+    if (!ok(NewConn)) {
       Record(false);
-      co_return error(Made);
+      co_return error(NewConn);
     }
-    Conn = value(Made);
+    Conn = value(NewConn);
   }
   Parser Into;
   Into.body_limit(Options.MaxResponseBytes);
