--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The HTTP client: kept connections, whole calls and streamed calls.
+// The HTTP client: a pool of idle connections, complete calls (`send`) and streamed calls (`open`).
 #include "valveshelf/http.h"
 #include "valveshelf/steady_timer.h"
 #include "valveshelf/traffic.h"
@@ -23,12 +23,12 @@
 namespace {
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
 constexpr size_t MaxIdlePerEndpoint = 16;
-// New connections are dear on both sides; one that the other side closed is noticed before use.
+// Idle connections are checked for a close by the server before they are reused.
 constexpr std::chrono::seconds MaxIdleTime{60};
 
-// A connection that was used so recently is not looked at before it is used again.
+// A connection that has been idle for less than this is reused without that check.
 constexpr Milliseconds MaxUncheckedIdleTime{20};
-// Room for a usual answer, so that it is read at once.
+// Large enough for one read to take a typical response.
 constexpr size_t ReadBufferBytes = 4096;
 
 struct Connection {
@@ -39,12 +39,12 @@
   beast::flat_buffer Buffer;
   const Endpoint To;
   TimePoint IdleSince{};
-  /// Counts the calls made on it, so that a deadline of one can't end the next.
+  /// Number of the latest call, so that the deadline of an earlier one can't cancel it.
   uint64_t Call = 0;
   bool InCall = false;
-  bool TimedOut = false; ///< The call under way was given up at its deadline.
+  bool TimedOut = false; ///< The current call was canceled at its deadline.
 
-  // False if the other side has closed it, or has sent what nobody asked for.
+  // False if the server has closed the connection or sent data that belongs to no request.
   bool isOpenAndQuiet() {
     boost::system::error_code Failure;
     char Byte = 0;
@@ -52,7 +52,7 @@
     return Failure == asio::error::would_block && Buffer.size() == 0;
   }
 
-  // Discards what the kernel has not sent yet, so that nothing arrives later.
+  // Resets the connection and discards unsent data, so that the server doesn't receive it later.
   void abort() {
     boost::system::error_code Ignored;
     Stream.socket().set_option(asio::socket_base::linger(true, 0), Ignored);
@@ -67,8 +67,8 @@
   }
 };
 
-// Ends calls at their deadlines by one timer for all of them, instead of one for each write and
-// read (exchange below has the figure for both).
+// Cancels calls at their deadlines. One timer serves all calls, instead of one for each read and
+// write. Thread safe.
 class Deadlines : public std::enable_shared_from_this<Deadlines> {
 public:
   explicit Deadlines(const Executor &Exec) : Timer(Exec) {}
@@ -77,7 +77,7 @@
   struct Entry {
     ConnectionPtr Conn;
     uint64_t Call;
-    Executor Exec; ///< On which the call runs.
+    Executor Exec; ///< Executor that the call runs on.
   };
 
   EntryKey add(TimePoint At, Entry What) {
@@ -94,12 +94,12 @@
     Pending.erase(OwnKey);
     if (!Pending.empty() || Armed == TimePoint::max())
       return;
-    Armed = TimePoint::max(); // nothing holds up an executor that would end
+    Armed = TimePoint::max(); // A pending timer would keep the executor running.
     Timer.cancel();
   }
 
 private:
-  // Called under Mutex. A timer that fires for a call which is over finds nothing to end.
+  // Requires Mutex. The timer may fire after its call has completed; it then cancels nothing.
   void arm(TimePoint At) {
     Armed = At;
     Timer.expires_at(At);
@@ -175,9 +175,9 @@
       closeIdleLongest();
   }
 
-  // Closes what is idle towards an address that did not answer on a kept connection, and has been
-  // since the call began. Connections may go silent for good without a reset while new ones work;
-  // each of up to sixteen kept ones would otherwise cost a call its whole time.
+  // Closes the connections to an endpoint that have been idle since before the given time. Called
+  // after a timeout on a reused connection: after a network fault the others may be dead as well
+  // without a reset, and each would cost one more call its timeout.
   void closeIdleBefore(const Endpoint &To, TimePoint Before) {
     std::lock_guard Lock(Mutex);
     const auto Found = Idle.find(To);
@@ -213,11 +213,11 @@
 
   const Executor Exec;
   const HttpClientLimits Limits;
-  TrafficMeter *const Meter; ///< Or null.
+  TrafficMeter *const Meter; ///< May be null.
   const std::shared_ptr<Deadlines> CallDeadlines;
 
 private:
-  // Called under Mutex. Within an endpoint the first is idle longest.
+  // Requires Mutex. The first connection of each endpoint is the one idle longest.
   void closeIdleLongest() {
     const auto Found = Idle.find(IdleByAge.front()->To);
     IdleByAge.pop_front();
@@ -227,8 +227,8 @@
   }
 
   std::mutex Mutex;
-  IdleList IdleByAge; ///< The idle connections, oldest first. Guarded by Mutex.
-  /// Places in IdleByAge, within an endpoint oldest first. Guarded by Mutex.
+  IdleList IdleByAge; ///< All idle connections, oldest first. Guarded by Mutex.
+  /// Iterators into IdleByAge, oldest first within an endpoint. Guarded by Mutex.
   std::unordered_map<Endpoint, std::vector<IdleList::iterator>, EndpointHash> Idle;
 };
 
@@ -344,7 +344,7 @@
 private:
   Error responseLost(boost::system::error_code Failure) const {
     return {ErrorKind::UpstreamCut,
-            "the answer of " + toString(To) + " is lost: " + Failure.message()};
+            "no complete response from " + toString(To) + ": " + Failure.message()};
   }
 
   std::function<void(ConnectionPtr)> ReturnIdle;
@@ -404,7 +404,7 @@
 } // namespace
 
 namespace {
-// A call on a connection, and the end of it at its deadline.
+// Registers the deadline of a call for the lifetime of this object.
 class TimedCall {
 public:
   TimedCall(std::shared_ptr<Deadlines> CallDeadlines, ConnectionPtr Conn, TimePoint At,
@@ -431,7 +431,7 @@
 using Serializer = http::request_serializer<http::string_body>;
 using Parser = http::response_parser<http::string_body>;
 
-// Writes what the socket takes now; would_block: there is more.
+// Writes as much as the socket accepts without blocking; would_block if data remains.
 boost::system::error_code writeWithoutWaiting(Connection &Conn, Serializer &Out,
                                               TrafficCounts &Counts) {
   boost::system::error_code Failure;
@@ -444,7 +444,7 @@
   return Failure;
 }
 
-// Parses what has been read. At the end of the stream \p Failure is eof.
+// Parses the data in the buffer. \p Failure is the result of the read, eof at the end of stream.
 boost::system::error_code parseRead(Connection &Conn, Parser &Into,
                                     boost::system::error_code Failure) {
   if (Failure == asio::error::eof && Into.got_some()) {
@@ -461,8 +461,8 @@
   return Failure;
 }
 
-// The request is written at once where the socket takes it; the answer usually comes in one piece.
-// So a call waits once, where timed operations for the write and the read would wait twice.
+// Sends the request and reads the response. A request that fits the socket's buffer is written
+// without waiting, so that a call usually waits only once, for its response.
 Awaitable<boost::system::error_code> exchange(Connection &Conn,
                                               const http::request<http::string_body> &Message,
                                               Parser &Into, TrafficCounts &Counts) {
@@ -521,7 +521,7 @@
       Pool->closeIdleBefore(To, Deadline - Options.Timeout);
     Conn->abort();
     co_return Error{ErrorKind::UpstreamCut,
-                    "the answer of " + toString(To) + " is lost: " + Failure.message()};
+                    "no complete response from " + toString(To) + ": " + Failure.message()};
   }
   if (Into.keep_alive() && !Failure)
     Pool->returnIdle(Conn);
--- a/src/http/client_bench.cpp
+++ b/src/http/client_bench.cpp
@@ -1,7 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What one call of the HTTP client costs the thread that makes it. The server runs on a thread of
-// its own. Processor time of the client's thread a call, middle of five runs: 12.0 us with a timed
-// operation for each write and read, 8.9 us with one wait a call and a shared deadline timer.
+// Cost of HTTP client calls to the calling thread. The server runs on a thread of its own.
 #include "valveshelf/http.h"
 
 #include <benchmark/benchmark.h>
@@ -25,14 +23,14 @@
   co_await Exchange.writeWhole(jsonResponse(200, R"({"clock_ms":482113})"));
 }
 
-// As many calls at a time as a pass of placement usually orders starts.
+// Sends as many concurrent calls as a placement pass typically starts tasks.
 void orderStarts(benchmark::State &State) {
   asio::io_context ServerIo(1);
   const auto Guard = asio::make_work_guard(ServerIo);
   const Endpoint Address{"127.0.0.1", 48731};
   HttpServer Server(ServerIo.get_executor(), Address, {}, answerOrder);
   if (!ok(Server.start()))
-    return State.SkipWithError("the port of the benchmark is taken");
+    return State.SkipWithError("cannot listen on the port of the benchmark");
   std::thread Serving([&] { ServerIo.run(); });
   asio::io_context Io(1);
   HttpClient Client(Io.get_executor(), {true, 1024});
@@ -47,7 +45,7 @@
           [&]() -> Awaitable<void> {
             Result<HttpResponse> Answer = co_await Client.send(Address, Order, {});
             if (!ok(Answer))
-              State.SkipWithError("a call failed");
+              State.SkipWithError("HTTP call failed");
           },
           asio::detached);
     Io.restart();
--- a/src/http/client_test.cpp
+++ b/src/http/client_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Connections that the client keeps, against servers on loopback.
+// Connection reuse, timeouts and eviction of idle connections, against servers on loopback.
 #include "valveshelf/http.h"
 #include "valveshelf/steady_timer.h"
 
@@ -14,7 +14,7 @@
 using tcp = asio::ip::tcp;
 using namespace std::chrono_literals;
 
-// Answers one request after the other on each connection and counts the connections.
+// Answers the requests on each connection in turn and counts the connections.
 class CountingServer {
 public:
   explicit CountingServer(asio::io_context &Io)
@@ -50,8 +50,8 @@
   tcp::acceptor Acceptor;
 };
 
-// Answers like the one above until it is told to be silent: what was open then never answers again,
-// and new connections do.
+// Answers like CountingServer. After stallOpenConnections the connections open at that time get no
+// more responses; new ones do.
 class StallingServer {
 public:
   explicit StallingServer(asio::io_context &Io)
@@ -79,7 +79,7 @@
       Read.erase(0, Size);
       if (Number <= LastStalled)
         continue;
-      // In pieces, so that an answer is put together.
+      // In several writes, so that the client has to reassemble the response.
       for (const std::string_view Piece :
            {"HTTP/1.1 200 OK\r\nConte", "nt-Length: 4\r\n\r\nab", "cd"}) {
         co_await asio::async_write(Socket, asio::buffer(Piece),
@@ -148,7 +148,7 @@
   EXPECT_EQ(Server.Accepted, 2);
 }
 
-// Connections go silent together; one call's time out is enough to know.
+// Guards against one timeout per idle connection after a network fault has broken all of them.
 TEST(HttpClient, TimeoutClosesOtherIdleConnections) {
   ClientFixture Fixture(8);
   StallingServer Server(Fixture.Io);
@@ -171,7 +171,7 @@
   CountingServer Third(Fixture.Io);
   EXPECT_EQ(Fixture.send(First.address()), 200);
   EXPECT_EQ(Fixture.send(Second.address()), 200);
-  EXPECT_EQ(Fixture.send(First.address()), 200); // now the second is the oldest
+  EXPECT_EQ(Fixture.send(First.address()), 200); // Second is now idle longest.
   EXPECT_EQ(Fixture.send(Third.address()), 200);
   Fixture.runUntil([&] { return Second.Open == 0; });
   EXPECT_EQ(First.Open, 1);
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What client and server share: header look-up, queries, and the answers for errors.
+// Shared by client and server: header lookup, query parameters and error responses.
 #include "valveshelf/http.h"
 
 #include <boost/algorithm/string/predicate.hpp>
@@ -102,8 +102,8 @@
       co_return Body;
     Body.append(Room.data(), value(Read));
     if (Body.size() > Most)
-      co_return Error{ErrorKind::BadRequest, "the body is larger than the " + std::to_string(Most) +
-                                                 " bytes accepted here"};
+      co_return Error{ErrorKind::BadRequest,
+                      "request body exceeds the limit of " + std::to_string(Most) + " bytes"};
   }
 }
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The HTTP server: accepts, reads heads within limits, and gives each request to the handler.
+// The HTTP server: accepts connections, reads request heads within limits, and calls the handler.
 #include "valveshelf/coroutines.h"
 #include "valveshelf/http.h"
 #include "valveshelf/steady_timer.h"
@@ -23,9 +23,9 @@
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
 using RequestParser = http::request_parser<http::buffer_body>;
 
-// A connection that has carried nothing yet gets so long for its first request once nothing more is
-// accepted: its caller has been let in, and may have sent it. One that is closed leaves a caller
-// that does not know whether its request ran (one request in 36 planned stops under four callers).
+// After stopAccepting a connection without a request so far has this long to send its first one:
+// the request may be on its way, and a caller whose connection is closed then doesn't know
+// whether it ran.
 constexpr Milliseconds FirstRequestTimeout{200};
 
 // One request as the handler sees it.
@@ -51,7 +51,7 @@
     if (Parser.is_done())
       co_return size_t{0};
     if (NeedsContinue && !(co_await sendContinue()))
-      co_return Error{ErrorKind::BadRequest, "the caller went away"};
+      co_return Error{ErrorKind::BadRequest, "caller disconnected before the request body"};
     while (!Parser.is_done()) {
       auto &Body = Parser.get().body();
       Body.data = Room.data();
@@ -60,8 +60,7 @@
       Stream.expires_after(BodyTimeout);
       auto [Failure, Bytes] = co_await http::async_read(Stream, Buffer, Parser, AsTuple);
       if (Failure && Failure != http::error::need_buffer)
-        co_return Error{ErrorKind::BadRequest,
-                        "the request body ended early: " + Failure.message()};
+        co_return Error{ErrorKind::BadRequest, "request body incomplete: " + Failure.message()};
       const size_t Read = Room.size() - Body.size;
       if (Read > 0)
         co_return Read;
@@ -74,7 +73,7 @@
     http::response<http::empty_body> Head{static_cast<http::status>(Status), 11};
     for (const auto &[Key, Value] : Headers)
       Head.insert(Key, Value);
-    // A body that was not read would be taken for the next request.
+    // The rest of an unread body would be parsed as the next request.
     KeepAlive = KeepAlive && Parser.keep_alive() && Parser.is_done();
     Head.keep_alive(KeepAlive);
     Bodyless = Method == "HEAD" || Status == 204 || Status == 304;
@@ -161,7 +160,7 @@
   bool KeepAlive = true;
 };
 
-// Framing that two readers could understand in two ways is refused outright.
+// Ambiguous framing enables request smuggling, so such requests are rejected.
 bool isAmbiguous(const RequestParser &Parser) {
   const auto &Head = Parser.get();
   const bool HasLength = Head.count(http::field::content_length) > 0;
@@ -190,7 +189,7 @@
       Acceptor.listen(asio::socket_base::max_listen_connections, Failure);
     if (Failure)
       return Error{ErrorKind::BadSettings,
-                   "can't listen on " + toString(Address) + ": " + Failure.message()};
+                   "cannot listen on " + toString(Address) + ": " + Failure.message()};
     asio::co_spawn(Acceptor.get_executor(), acceptLoop(shared_from_this()), asio::detached);
     return Done{};
   }
@@ -225,7 +224,7 @@
       if (Failure) {
         if (Self->Stopping || Failure == asio::error::operation_aborted)
           co_return;
-        // Out of descriptors, usually: let connections end before trying again.
+        // Usually out of file descriptors: wait for connections to close.
         SteadyTimer Pause(co_await asio::this_coro::executor, Milliseconds(20));
         co_await Pause.async_wait(AsTuple);
         continue;
@@ -243,7 +242,8 @@
     asio::co_spawn(Strand, serveConnection(shared_from_this(), std::move(Socket)), asio::detached);
   }
 
-  // Whom the kernel has let in already is served; the end of the listening socket would reset them.
+  // Accepts the connections in the kernel's backlog first: closing the listening socket would reset
+  // them.
   void closeAcceptor() {
     boost::system::error_code Failure;
     Acceptor.non_blocking(true, Failure);
@@ -294,7 +294,8 @@
     RequestParser Parser;
     Parser.header_limit(static_cast<uint32_t>(Limits.MaxHeaderBytes));
     Parser.body_limit(boost::none);
-    // Noted before the look at Stopping, so that a stop meanwhile sees it one way or the other.
+    // Registered before Stopping is read: a concurrent stopAccepting either finds it in Idle or is
+    // seen here.
     const uint64_t Number = addIdle(Stream, IsNew);
     Starting -= IsNew ? 1 : 0;
     if (Stopping && !IsNew && Buffer.size() == 0) {
@@ -304,7 +305,7 @@
     Stream.expires_after(Stopping ? FirstRequestTimeout : Limits.HeaderTimeout);
     auto [Failure, Bytes] = co_await http::async_read_header(Stream, Buffer, Parser, AsTuple);
     if (!Failure)
-      ++Active; // before it leaves the idle ones, so that a stop never finds neither
+      ++Active; // Before removeIdle, so that inProgress always counts the connection.
     removeIdle(Number);
     if (Failure)
       co_return co_await rejectRequest(Stream, Buffer, Parser, Failure);
@@ -320,7 +321,10 @@
     if (!isAmbiguous(Parser))
       co_return co_await runHandler(Exchange);
     Exchange.closeAfterResponse();
-    const Error Bad{ErrorKind::BadRequest, "the framing of the request is ambiguous"};
+    const Error Bad{
+        ErrorKind::BadRequest,
+        "request framing is ambiguous: repeated Content-Length or Host, or Content-Length with "
+        "Transfer-Encoding"};
     co_await sendWhole(Exchange, errorResponse(Bad));
   }
 
@@ -360,17 +364,16 @@
   tcp::acceptor Acceptor;
   std::atomic<bool> Draining{false};
   std::atomic<bool> Stopping{false};
-  std::atomic<bool> IsAcceptingBacklog{
-      false}; ///< Connections that the kernel holds are being taken.
+  std::atomic<bool> IsAcceptingBacklog{false}; ///< The kernel's backlog is being accepted.
   std::atomic<size_t> Connections{0};
-  std::atomic<size_t> Starting{0}; ///< Accepted, and not among the idle ones yet.
+  std::atomic<size_t> Starting{0}; ///< Accepted, but not in Idle yet.
   std::atomic<size_t> Active{0};
   struct IdleConnection {
     beast::tcp_stream *Stream = nullptr;
-    bool IsNew = false; ///< It has carried no request yet.
+    bool IsNew = false; ///< No request has been received on it.
   };
   mutable std::mutex Mutex;
-  std::map<uint64_t, IdleConnection> Idle; ///< Those that wait for a head. Guarded by Mutex.
+  std::map<uint64_t, IdleConnection> Idle; ///< Waiting for a request head. Guarded by Mutex.
   uint64_t LastIdleId = 0;                 ///< Guarded by Mutex.
 };
 
--- a/src/http/server_test.cpp
+++ b/src/http/server_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What becomes of connections when a server stops accepting.
+// Connections in each state when a server stops accepting: no request may be lost without a
+// response.
 #include "valveshelf/coroutines.h"
 #include "valveshelf/http.h"
 
@@ -14,7 +15,7 @@
 
 const std::string Request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
-// A server on loopback that answers 200, and callers that speak from outside its executor.
+// A server on loopback that answers 200, and callers outside its executor.
 class HttpServerTest : public ::testing::Test {
 protected:
   HttpServerTest()
@@ -24,7 +25,7 @@
           co_await sendWhole(Exchange, std::move(Whole));
         }) {
     EXPECT_TRUE(ok(Server.start()));
-    Io.run_for(10ms); // it waits for the first connection
+    Io.run_for(10ms); // Lets it start to accept.
   }
 
   static uint16_t freePort() {
@@ -43,7 +44,7 @@
     Io.run_for(Time);
   }
 
-  // What has come on the connection until now, or why nothing will come.
+  // The data received so far, or the error of the read.
   static std::string received(tcp::socket &Socket) {
     Socket.non_blocking(true);
     std::string Text(4096, '\0');
@@ -58,10 +59,7 @@
   HttpServer Server;
 };
 
-// An entry process stopped as planned while four callers asked it. One of them had connected 7 ms
-// after the signal and sent its request; the answer was a reset within a millisecond:
-//   began ...017 status 0 cut; stopping 52:00.014, stopped 52:00.058 requests_cut=0
-// The kernel had let the connection in, and the end of the listening socket reset it unread.
+// Guards against a reset of connections in the kernel's backlog when the listening socket closes.
 TEST_F(HttpServerTest, ServesConnectionsInAcceptBacklog) {
   tcp::socket Caller = connect();
   asio::write(Caller, asio::buffer(Request));
@@ -76,7 +74,7 @@
   EXPECT_EQ(Failure, asio::error::connection_refused);
 }
 
-// The connection was accepted, and its request is under way when the server stops.
+// Guards against closing an accepted connection whose first request is still on its way.
 TEST_F(HttpServerTest, ServesFirstRequestOfAcceptedConnection) {
   tcp::socket Caller = connect();
   runFor(20ms);
