--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -11,11 +11,11 @@
 namespace valveshelf {
 namespace {
 constexpr Milliseconds RetryPause{200};
-constexpr Milliseconds BoxPollEvery{1000};
-constexpr Milliseconds RefreshEvery{200};
+constexpr Milliseconds BoxPollInterval{1000};
+constexpr Milliseconds RouterRefreshInterval{200};
 constexpr Milliseconds PeerTimeout{1500};
 constexpr size_t GossipFanOut = 4;
-constexpr int QuietRounds = 4;
+constexpr int UnchangedGossipPeriod = 4;
 
 HttpServerLimits limitsOf(const IntakeLimits &Limits) {
   HttpServerLimits Out;
@@ -34,27 +34,28 @@
 }
 } // namespace
 
-EntryProcess::EntryProcess(Executor Where, EntrySettings Settings, Clock Time, Platform From,
-                           HttpClient &Client)
-    : Where(Where), Settings(std::move(Settings)), Time(std::move(Time)), From(std::move(From)),
-      Client(Client), Peers(makeGrpcPeerOps(Where, PeerTimeout)),
-      Watch(this->From.Store, this->Time), Directory(this->Settings.Shards),
-      Config(this->From.Store, this->Time, Peers, Watch),
-      Requests({Where, this->Time, Client, Directory, [this] { return Config.current(); },
-                [this] { return Watch.view(); },
-                [this] {
-                  const auto Current = session();
-                  return Current && Current->mayAct();
-                },
-                this->Settings.Member}),
+EntryProcess::EntryProcess(Executor Where, EntrySettings Settings, Clock Time,
+                           Platform PlatformAccess, HttpClient &Client)
+    : Where(Where), Settings(std::move(Settings)), Time(std::move(Time)),
+      PlatformAccess(std::move(PlatformAccess)), Client(Client),
+      Peers(makeGrpcPeerOps(Where, PeerTimeout)), Watch(this->PlatformAccess.Store, this->Time),
+      Directory(this->Settings.Shards),
+      Config(this->PlatformAccess.Store, this->Time, Peers, Watch),
+      RequestRouter({Where, this->Time, Client, Directory, [this] { return Config.current(); },
+                     [this] { return Watch.view(); },
+                     [this] {
+                       const auto Current = session();
+                       return Current && Current->mayAct();
+                     },
+                     this->Settings.Member}),
       Callers(Where, this->Settings.Callers, limitsOf(this->Settings.Limits),
               [this](HttpExchange &Exchange) { return serveCaller(Exchange); }),
       Operators(Where, this->Settings.Operators, limitsOf(this->Settings.Limits),
                 [this](HttpExchange &Exchange) { return serveOperator(Exchange); }),
-      PeersIn(Where, this->Settings.Peers, peerHandlers()) {}
+      PeerListener(Where, this->Settings.Peers, peerHandlers()) {}
 
 Result<Done> EntryProcess::start() {
-  if (Result<Done> Bound = PeersIn.start(); !ok(Bound))
+  if (Result<Done> Bound = PeerListener.start(); !ok(Bound))
     return Bound;
   if (Result<Done> Bound = Callers.start(); !ok(Bound))
     return Bound;
@@ -86,7 +87,7 @@
 Awaitable<Result<Done>> EntryProcess::checkShardCount() {
   const std::string Mine = std::to_string(Settings.Shards);
   while (Watch.view()->ShardsText.empty()) {
-    Result<uint64_t> Put = co_await From.Store.Put(std::string(ShardsKey), Mine, 0, 0);
+    Result<uint64_t> Put = co_await PlatformAccess.Store.Put(std::string(ShardsKey), Mine, 0, 0);
     if (!ok(Put))
       co_await sleepFor(RetryPause);
     co_await Watch.load();
@@ -107,9 +108,15 @@
     co_return OnFatal(answerFor(ErrorKind::BadSettings).ExitCode);
   }
   spawnLater(Where, Watch.run());
-  SessionTools Tools{Where,      Time,         Settings,
-                     From.Store, From.Workers, Peers,
-                     Watch,      Directory,    [this] { return Config.current(); }};
+  SessionTools Tools{Where,
+                     Time,
+                     Settings,
+                     PlatformAccess.Store,
+                     PlatformAccess.Workers,
+                     Peers,
+                     Watch,
+                     Directory,
+                     [this] { return Config.current(); }};
   while (!Stopping) {
     auto Next = std::make_shared<Session>(Tools, newLogId(Settings.Member, Time.Wall()));
     {
@@ -125,8 +132,8 @@
     }
     Joined = ok(In);
     if (Joined)
-      Requests.onJoined();
-    while (!Next->over() && !Stopping && ok(In))
+      RequestRouter.onJoined();
+    while (!Next->hasEnded() && !Stopping && ok(In))
       co_await sleepFor(RetryPause);
     Joined = Joined && Stopping;
   }
@@ -134,69 +141,69 @@
 
 Awaitable<void> EntryProcess::boxLoop() {
   while (true) {
-    Result<BoxList> List = co_await From.Boxes.Fetch();
+    Result<BoxList> List = co_await PlatformAccess.Boxes.Fetch();
     if (ok(List))
       Directory.setBoxes(std::move(value(List)));
-    co_await sleepFor(BoxPollEvery);
+    co_await sleepFor(BoxPollInterval);
   }
 }
 
 Awaitable<void> EntryProcess::refreshLoop() {
   while (true) {
-    Requests.refresh();
-    co_await sleepFor(RefreshEvery);
+    RequestRouter.refresh();
+    co_await sleepFor(RouterRefreshInterval);
   }
 }
 
-wire::ExchangeRequest EntryProcess::ownNews() {
-  wire::ExchangeRequest News;
-  News.set_member(Settings.Member);
-  News.set_address(toString(Settings.Peers));
-  News.set_config_version(Config.current()->Version);
-  News.set_leaving(Stopping);
+wire::ExchangeRequest EntryProcess::ownGossip() {
+  wire::ExchangeRequest Message;
+  Message.set_member(Settings.Member);
+  Message.set_address(toString(Settings.Peers));
+  Message.set_config_version(Config.current()->Version);
+  Message.set_leaving(Stopping);
   const auto Current = session();
   if (!Current)
-    return News;
-  News.set_incarnation(Current->logId());
+    return Message;
+  Message.set_incarnation(Current->logId());
   for (const auto &Runner : Current->ownership().all())
-    *News.add_summary() = Runner->summary();
-  return News;
+    *Message.add_summary() = Runner->summary();
+  return Message;
 }
 
-void EntryProcess::hear(const wire::ExchangeRequest &News) {
+void EntryProcess::applyGossip(const wire::ExchangeRequest &Message) {
   const TimePoint Now = Time.Now();
-  for (const wire::ShardSummary &Summary : News.summary())
+  for (const wire::ShardSummary &Summary : Message.summary())
     Directory.applySummary(Summary, Now);
   {
     std::lock_guard Lock(Mutex);
-    ConfigVersions[News.member()] = News.config_version();
+    ConfigVersions[Message.member()] = Message.config_version();
   }
-  const Result<Endpoint> From = parseEndpoint(News.address());
-  if (News.config_version() > Config.current()->Version && ok(From))
-    spawnLater(Where, Config.fetchFrom(value(From)));
+  const Result<Endpoint> Sender = parseEndpoint(Message.address());
+  if (Message.config_version() > Config.current()->Version && ok(Sender))
+    spawnLater(Where, Config.fetchFrom(value(Sender)));
 }
 
 Awaitable<void> EntryProcess::gossipWith(MemberInfo Peer) {
-  const wire::ExchangeRequest News = ownNews();
-  Result<wire::ExchangeReply> Reply = co_await Peers.Exchange(Peer.Peers, News);
+  const wire::ExchangeRequest Message = ownGossip();
+  Result<wire::ExchangeReply> Reply = co_await Peers.Exchange(Peer.Peers, Message);
   if (!ok(Reply)) {
     // A frozen or cut-off process still has its listener; only one that is gone refuses.
-    const PeerOps::ProbeResult Heard = co_await Peers.Probe(Peer.Peers);
-    if (Heard == PeerOps::ProbeResult::Refused && !Peer.Log.empty())
+    const PeerOps::ProbeResult Probed = co_await Peers.Probe(Peer.Peers);
+    if (Probed == PeerOps::ProbeResult::Refused && !Peer.Log.empty())
       Watch.noteGone(Peer.Log);
     co_return;
   }
-  wire::ExchangeRequest Heard;
-  Heard.set_member(Peer.Name);
-  Heard.set_address(toString(Peer.Peers));
-  Heard.set_config_version(value(Reply).config_version());
-  *Heard.mutable_summary() = value(Reply).summary();
-  hear(Heard);
+  wire::ExchangeRequest Received;
+  Received.set_member(Peer.Name);
+  Received.set_address(toString(Peer.Peers));
+  Received.set_config_version(value(Reply).config_version());
+  *Received.mutable_summary() = value(Reply).summary();
+  applyGossip(Received);
 }
 
 // Whom to exchange news with: members, and entry boxes of the platform's list, so that a process
 // that starts in a store outage finds its peers too.
-std::vector<MemberInfo> EntryProcess::gossipPartners() const {
+std::vector<MemberInfo> EntryProcess::gossipPeers() const {
   std::map<Endpoint, MemberInfo> Found;
   for (const BoxInfo &Box : *Directory.boxes()) {
     MemberInfo Listed;
@@ -218,30 +225,30 @@
 // Exchanges news with a bounded number of peers a round, in turn. Without news of its own a
 // process speaks more seldom.
 Awaitable<void> EntryProcess::gossipLoop() {
-  std::string Told;
-  int Quiet = 0;
+  std::string LastSent;
+  int UnchangedRounds = 0;
   while (true) {
-    const wire::ExchangeRequest Own = ownNews();
+    const wire::ExchangeRequest Own = ownGossip();
     for (const wire::ShardSummary &Summary : Own.summary())
       Directory.applySummary(Summary, Time.Now());
     const std::string Now = Own.SerializeAsString();
-    Quiet = Now == Told ? Quiet + 1 : 0;
-    Told = Now;
-    const bool Speak = Quiet % QuietRounds == 0;
-    const std::vector<MemberInfo> Others = gossipPartners();
-    const size_t Calls = Speak ? std::min(GossipFanOut, Others.size()) : 0;
+    UnchangedRounds = Now == LastSent ? UnchangedRounds + 1 : 0;
+    LastSent = Now;
+    const bool SendNow = UnchangedRounds % UnchangedGossipPeriod == 0;
+    const std::vector<MemberInfo> Others = gossipPeers();
+    const size_t Calls = SendNow ? std::min(GossipFanOut, Others.size()) : 0;
     for (size_t I = 0; I < Calls; ++I)
-      spawnLater(Where, gossipWith(Others[(GossipNext + I) % Others.size()]));
-    GossipNext += Calls;
+      spawnLater(Where, gossipWith(Others[(NextGossipPeer + I) % Others.size()]));
+    NextGossipPeer += Calls;
     co_await sleepFor(Settings.Timing.Gossip);
   }
 }
 
 PeerHandlers EntryProcess::peerHandlers() {
   PeerHandlers Handlers;
-  Handlers.Exchange = [this](wire::ExchangeRequest News) -> Awaitable<wire::ExchangeReply> {
-    hear(News);
-    const wire::ExchangeRequest Own = ownNews();
+  Handlers.Exchange = [this](wire::ExchangeRequest Message) -> Awaitable<wire::ExchangeReply> {
+    applyGossip(Message);
+    const wire::ExchangeRequest Own = ownGossip();
     wire::ExchangeReply Reply;
     Reply.set_incarnation(Own.incarnation());
     Reply.set_config_version(Own.config_version());
@@ -260,16 +267,16 @@
   Handlers.StepDown = [this](wire::StepDownRequest Request) -> Awaitable<wire::StepDownReply> {
     wire::StepDownReply Reply;
     bool Known = false;
-    bool Quiet = true;
+    bool StoppedSending = true;
     {
       std::lock_guard Lock(Mutex);
       for (const auto &Past : Sessions)
         if (Past->logId() == Request.log()) {
           Known = true;
-          Quiet = Past->quiet();
+          StoppedSending = Past->hasStoppedSending();
         }
     }
-    Reply.set_gone(!Known || Quiet);
+    Reply.set_gone(!Known || StoppedSending);
     // If it is the current one, its next write to the journal will find the seal.
     if (const auto Current = session(); Known && Current)
       Current->journal().append({}, {});
@@ -278,7 +285,7 @@
   Handlers.Forward = [this](wire::ForwardRequest Request) -> Awaitable<wire::ForwardReply> {
     wire::ForwardReply Reply;
     Result<std::string> Answer =
-        co_await operate(Request.shard(), Request.operation(), Request.target(), Request.body());
+        co_await runLocally(Request.shard(), Request.operation(), Request.target(), Request.body());
     if (ok(Answer)) {
       Reply.set_body(value(Answer));
     } else {
@@ -323,15 +330,15 @@
 
 void EntryProcess::beginStop(std::function<void(int)> Finished) {
   if (!Stopping.exchange(true))
-    spawnLater(Where, stopNow(std::move(Finished)));
+    spawnLater(Where, stopGracefully(std::move(Finished)));
 }
 
 // Withdraws readiness, hands the shards over, lets requests finish, gives the lease back.
-Awaitable<void> EntryProcess::stopNow(std::function<void(int)> Finished) {
+Awaitable<void> EntryProcess::stopGracefully(std::function<void(int)> Finished) {
   logEvent(events::Stopping, {{"member", Settings.Member}});
   const TimePoint Deadline = Time.Now() + Settings.Timing.StopGrace;
   size_t Left = 0;
-  if (const auto Current = session(); Current && !Current->over())
+  if (const auto Current = session(); Current && !Current->hasEnded())
     Left = co_await Current->leave();
   Callers.stopAccepting();
   while (Callers.inProgress() > 0 && Time.Now() < Deadline)
--- a/src/entry/interfaces.cpp
+++ b/src/entry/interfaces.cpp
@@ -32,7 +32,7 @@
 }
 
 // Gives a job without an id one of its own, so that sending it again is harmless.
-Result<std::pair<std::string, std::string>> withId(const std::string &Body) {
+Result<std::pair<std::string, std::string>> ensureJobId(const std::string &Body) {
   json::error_code Failure;
   json::value Root = json::parse(Body, Failure);
   if (Failure || !Root.is_object())
@@ -58,7 +58,7 @@
 Awaitable<void> EntryProcess::serveCaller(HttpExchange &Exchange) {
   const std::string_view Path = pathOf(Exchange.target());
   if (Path == "/svc" || Path.starts_with("/svc/"))
-    co_return co_await Requests.serve(Exchange);
+    co_return co_await RequestRouter.serve(Exchange);
   Result<std::string> Body =
       co_await readWhole(Exchange, static_cast<size_t>(Settings.Limits.MaxJobBytes));
   if (!ok(Body))
@@ -70,12 +70,12 @@
 }
 
 Awaitable<HttpResponse> EntryProcess::submitJob(std::string Body) {
-  Result<std::pair<std::string, std::string>> Named = withId(Body);
+  Result<std::pair<std::string, std::string>> Named = ensureJobId(Body);
   if (!ok(Named))
     co_return errorResponse(error(Named));
   const auto &[Id, Text] = value(Named);
   Result<std::string> Answer =
-      co_await atOwner(shardOfJob(Id, Settings.Shards), "submit", Id, Text);
+      co_await runAtOwner(shardOfJob(Id, Settings.Shards), "submit", Id, Text);
   if (ok(Answer))
     co_return jsonResponse(HttpCreated, value(Answer) + "\n");
   logEvent(events::JobRefused, {{"job", Id}, {"why", "\"" + error(Answer).Detail + "\""}});
@@ -105,7 +105,7 @@
   if (Operation.empty())
     co_return errorResponse(notFound(Target));
   Result<std::string> Answer =
-      co_await atOwner(shardOfJob(Id, Settings.Shards), Operation, Id, Body);
+      co_await runAtOwner(shardOfJob(Id, Settings.Shards), Operation, Id, Body);
   co_return ok(Answer) ? jsonResponse(200, value(Answer) + "\n") : errorResponse(error(Answer));
 }
 
@@ -113,7 +113,7 @@
   const std::string Partner = queryParameter(Target, "partner").value_or("");
   json::array All;
   for (uint32_t Shard = 0; Shard < Settings.Shards; ++Shard) {
-    Result<std::string> Part = co_await atOwner(Shard, "list", Partner, "");
+    Result<std::string> Part = co_await runAtOwner(Shard, "list", Partner, "");
     if (!ok(Part))
       co_return errorResponse(error(Part));
     json::value Listed = json::parse(value(Part));
@@ -123,8 +123,8 @@
   co_return jsonResponse(200, json::serialize(All) + "\n");
 }
 
-Awaitable<Result<std::string>> EntryProcess::operate(uint32_t Shard, std::string Operation,
-                                                     std::string Target, std::string Body) {
+Awaitable<Result<std::string>> EntryProcess::runLocally(uint32_t Shard, std::string Operation,
+                                                        std::string Target, std::string Body) {
   const std::shared_ptr<ShardRunner> Runner = runner(Shard);
   const auto Current = session();
   if (!Runner || !Current || !Current->mayAct())
@@ -147,8 +147,8 @@
 
 // Tries the owner, and its successor if it changes, until the deadline. All operations are
 // safe to repeat, since they name their job.
-Awaitable<Result<std::string>> EntryProcess::atOwner(uint32_t Shard, std::string Operation,
-                                                     std::string Target, std::string Body) {
+Awaitable<Result<std::string>> EntryProcess::runAtOwner(uint32_t Shard, std::string Operation,
+                                                        std::string Target, std::string Body) {
   const TimePoint Deadline = Time.Now() + OperationDeadline;
   bool MayHaveRun = false;
   Error Last{ErrorKind::NotOwner, "shard " + std::to_string(Shard) + " has no owner now"};
@@ -157,7 +157,7 @@
     const CellViewPtr View = Watch.view();
     const auto Owner = View->Owners.find(Shard);
     if (runner(Shard)) {
-      Answer = co_await operate(Shard, Operation, Target, Body);
+      Answer = co_await runLocally(Shard, Operation, Target, Body);
     } else if (Owner != View->Owners.end() && !Owner->second.Released) {
       wire::ForwardRequest Request;
       Request.set_shard(Shard);
@@ -212,7 +212,7 @@
   if (Path == "/live")
     co_return HttpResponse{200, {}, "live\n"};
   if (Path == "/ready") {
-    const bool Ready = Joined && !Stopping && Requests.ready();
+    const bool Ready = Joined && !Stopping && RequestRouter.ready();
     co_return HttpResponse{Ready ? 200 : HttpNotReady, {}, Ready ? "ready\n" : "not ready\n"};
   }
   if (Path == "/metrics")
@@ -223,7 +223,7 @@
     co_return co_await answerConfig(std::move(Method), std::move(Target), std::move(Headers),
                                     std::move(Body));
   if (Path == "/v1/drain" && Method == "POST") {
-    if (!partnerOf(Headers))
+    if (!authenticatedPartner(Headers))
       co_return errorResponse({ErrorKind::Forbidden, "the operator's token is missing or unknown"});
     std::raise(SIGTERM);
     co_return jsonResponse(200, "{\"state\":\"draining\"}\n");
@@ -231,7 +231,7 @@
   co_return errorResponse(notFound(Target));
 }
 
-std::optional<std::string> EntryProcess::partnerOf(const HeaderList &Headers) const {
+std::optional<std::string> EntryProcess::authenticatedPartner(const HeaderList &Headers) const {
   constexpr std::string_view Scheme = "Bearer ";
   const std::string_view Given = findHeader(Headers, "Authorization");
   if (!Given.starts_with(Scheme))
@@ -253,7 +253,7 @@
     co_return errorResponse(notFound(Target));
   ConfigChange Change;
   Change.Partner = std::string(Path.substr(std::string_view("/v1/config/").size()));
-  if (partnerOf(Headers) != Change.Partner)
+  if (authenticatedPartner(Headers) != Change.Partner)
     co_return errorResponse(
         {ErrorKind::Forbidden, "the operator's token is not one of partner " + Change.Partner});
   Change.Text = std::move(Body);
@@ -297,14 +297,14 @@
 // The figures are read when they are asked for, so a registry of their own serves each answer.
 HttpResponse EntryProcess::metrics() {
   prometheus::Registry Registry;
-  const auto Set = [&](const std::string &Name, const std::string &Help, double Value) {
+  const auto SetGauge = [&](const std::string &Name, const std::string &Help, double Value) {
     prometheus::BuildGauge().Name(Name).Help(Help).Register(Registry).Add({}).Set(Value);
   };
   ShardStats Sum;
   size_t Shards = 0;
   size_t Draining = 0;
-  Milliseconds ForJournal{0};
-  Milliseconds ForHome{0};
+  Milliseconds LongestJournalWait{0};
+  Milliseconds LongestHomeWait{0};
   const auto Current = session();
   if (Current) {
     for (const auto &Runner : Current->ownership().all()) {
@@ -319,44 +319,48 @@
       Sum.Unreported += One.Unreported;
       Sum.StartsInFlight += One.StartsInFlight;
       Draining += One.Draining ? 1 : 0;
-      Milliseconds &Longest = One.Stage == ReportStage::Journal ? ForJournal : ForHome;
+      Milliseconds &Longest =
+          One.Stage == ReportStage::Journal ? LongestJournalWait : LongestHomeWait;
       Longest = std::max(Longest, One.TimeInStage);
     }
-    Set("valveshelf_journal_writes", "Entries this process wrote to its journal.",
-        static_cast<double>(Current->journal().writes()));
-    Set("valveshelf_store_up", "1 if the store answers.", Current->journal().storeUp());
-    Set("valveshelf_may_act", "1 if this process may send starts.", Current->mayAct());
-    Set("valveshelf_claims", "Shards claimed by this incarnation.",
-        static_cast<double>(Current->ownership().claims()));
+    SetGauge("valveshelf_journal_writes", "Entries this process wrote to its journal.",
+             static_cast<double>(Current->journal().writes()));
+    SetGauge("valveshelf_store_up", "1 if the store answers.", Current->journal().storeUp());
+    SetGauge("valveshelf_may_act", "1 if this process may send starts.", Current->mayAct());
+    SetGauge("valveshelf_claims", "Shards claimed by this incarnation.",
+             static_cast<double>(Current->ownership().claims()));
   }
-  Set("valveshelf_shards", "Shards owned.", static_cast<double>(Shards));
-  Set("valveshelf_starts", "Starts confirmed on owned shards.", static_cast<double>(Sum.Starts));
-  Set("valveshelf_jobs", "Jobs whose home is here.", static_cast<double>(Sum.Jobs));
-  Set("valveshelf_tasks_queued", "Tasks queued here.", static_cast<double>(Sum.Queued));
-  Set("valveshelf_tasks_running", "Tasks running here.", static_cast<double>(Sum.Running));
-  Set("valveshelf_ends_unreported", "Ends that their home shards have not recorded yet.",
-      static_cast<double>(Sum.Unreported));
-  Set("valveshelf_starts_in_flight", "Starts sent and not answered.", Sum.StartsInFlight);
-  Set("valveshelf_shards_draining", "Owned shards that place nothing, to be handed over.",
-      static_cast<double>(Draining));
-  Set("valveshelf_reports_wait_for_journal_seconds",
-      "The longest that a round of reports to home shards waits for the journal now.",
-      std::chrono::duration<double>(ForJournal).count());
-  Set("valveshelf_reports_wait_for_home_seconds",
-      "The longest that a round of reports waits for the answer of a home shard's owner now.",
-      std::chrono::duration<double>(ForHome).count());
-  Set("valveshelf_workers", "Workers of owned shards.", static_cast<double>(Sum.Workers));
-  Set("valveshelf_workers_ready", "Workers that take tasks.",
-      static_cast<double>(Sum.WorkersReady));
-  Set("valveshelf_config_version", "Configuration in force.",
-      static_cast<double>(Config.current()->Version));
-  const RouterStats &Routed = Requests.stats();
-  Set("valveshelf_requests_served", "Requests with an answer.", static_cast<double>(Routed.Served));
-  Set("valveshelf_requests_refused", "Requests refused or failed.",
-      static_cast<double>(Routed.Refused));
-  Set("valveshelf_requests_retried", "Tries beyond the first.",
-      static_cast<double>(Routed.Retried));
-  Set("valveshelf_requests_cut", "Answers cut on the way.", static_cast<double>(Routed.Truncated));
+  SetGauge("valveshelf_shards", "Shards owned.", static_cast<double>(Shards));
+  SetGauge("valveshelf_starts", "Starts confirmed on owned shards.",
+           static_cast<double>(Sum.Starts));
+  SetGauge("valveshelf_jobs", "Jobs whose home is here.", static_cast<double>(Sum.Jobs));
+  SetGauge("valveshelf_tasks_queued", "Tasks queued here.", static_cast<double>(Sum.Queued));
+  SetGauge("valveshelf_tasks_running", "Tasks running here.", static_cast<double>(Sum.Running));
+  SetGauge("valveshelf_ends_unreported", "Ends that their home shards have not recorded yet.",
+           static_cast<double>(Sum.Unreported));
+  SetGauge("valveshelf_starts_in_flight", "Starts sent and not answered.", Sum.StartsInFlight);
+  SetGauge("valveshelf_shards_draining", "Owned shards that place nothing, to be handed over.",
+           static_cast<double>(Draining));
+  SetGauge("valveshelf_reports_wait_for_journal_seconds",
+           "The longest that a round of reports to home shards waits for the journal now.",
+           std::chrono::duration<double>(LongestJournalWait).count());
+  SetGauge("valveshelf_reports_wait_for_home_seconds",
+           "The longest that a round of reports waits for the answer of a home shard's owner now.",
+           std::chrono::duration<double>(LongestHomeWait).count());
+  SetGauge("valveshelf_workers", "Workers of owned shards.", static_cast<double>(Sum.Workers));
+  SetGauge("valveshelf_workers_ready", "Workers that take tasks.",
+           static_cast<double>(Sum.WorkersReady));
+  SetGauge("valveshelf_config_version", "Configuration in force.",
+           static_cast<double>(Config.current()->Version));
+  const RouterStats &Routed = RequestRouter.stats();
+  SetGauge("valveshelf_requests_served", "Requests with an answer.",
+           static_cast<double>(Routed.Served));
+  SetGauge("valveshelf_requests_refused", "Requests refused or failed.",
+           static_cast<double>(Routed.Refused));
+  SetGauge("valveshelf_requests_retried", "Tries beyond the first.",
+           static_cast<double>(Routed.Retried));
+  SetGauge("valveshelf_requests_cut", "Answers cut on the way.",
+           static_cast<double>(Routed.Truncated));
   const std::string Text = prometheus::TextSerializer().Serialize(Registry.Collect());
   return {200, {{"Content-Type", "text/plain; version=0.0.4"}}, Text};
 }
--- a/src/entry/session.cpp
+++ b/src/entry/session.cpp
@@ -10,7 +10,7 @@
 
 namespace valveshelf {
 namespace {
-constexpr Milliseconds LookEvery{500};
+constexpr Milliseconds FenceCheckInterval{500};
 // Part of the write budget that stays free for leases, claims and configuration.
 constexpr double JournalShare = 0.6;
 constexpr double BurstSeconds = 2.0;
@@ -56,7 +56,7 @@
 }
 
 Awaitable<Result<Done>> Session::join() {
-  shareBudget();
+  updateWriteRate();
   spawnLater(Tools.Where, Log.run());
   Result<Done> Joined = co_await Lease.join();
   if (!ok(Joined)) {
@@ -71,7 +71,7 @@
 }
 
 // The journals of all members together stay within their part of the store's writes.
-void Session::shareBudget() {
+void Session::updateWriteRate() {
   const EntrySettings &Settings = Tools.Settings;
   const size_t Members = std::max<size_t>(1, Tools.Watch.view()->Members.size());
   const double Rate =
@@ -81,16 +81,16 @@
 
 Awaitable<void> Session::watchLoop() {
   while (!Abandoned) {
-    shareBudget();
+    updateWriteRate();
     if (Log.fenced()) {
       logEvent(events::Fenced, {{"log", Self.Log}});
       abandon();
     }
-    co_await sleepFor(LookEvery);
+    co_await sleepFor(FenceCheckInterval);
   }
 }
 
-bool Session::over() const { return Abandoned; }
+bool Session::hasEnded() const { return Abandoned; }
 
 void Session::abandon() {
   {
@@ -106,7 +106,7 @@
 
 bool Session::mayAct() { return Shared.mayActAt(Tools.Time.Now()); }
 
-bool Session::quiet() const { return Abandoned && Owned.startsInFlight() == 0; }
+bool Session::hasStoppedSending() const { return Abandoned && Owned.startsInFlight() == 0; }
 
 Awaitable<size_t> Session::leave() {
   co_await Lease.announceLeaving();
--- a/src/entry/shard_operations.cpp
+++ b/src/entry/shard_operations.cpp
@@ -14,8 +14,8 @@
 
 constexpr uint32_t MaxTasks = 100000;
 constexpr Milliseconds DurableWait{4000};
-constexpr Milliseconds HoldLife{1500};
-constexpr size_t MaxListed = 1000;
+constexpr Milliseconds HoldDuration{1500};
+constexpr size_t MaxListedTasks = 1000;
 
 // Waits for a callback from the journal, but not for ever.
 struct DurableWaiter {
@@ -45,7 +45,7 @@
 }
 
 // A callback that is done with Witnessed as well.
-DurableCallback softCallbackOf(std::shared_ptr<DurableWaiter> Waiter) {
+DurableCallback callbackAcceptingWitnessed(std::shared_ptr<DurableWaiter> Waiter) {
   return [Waiter](Durability Value) {
     asio::post(Waiter->Timer.get_executor(), [Waiter, Value] {
       if (!Waiter->Value)
@@ -55,14 +55,16 @@
   };
 }
 
-Error notRecorded(const std::string &Job) {
+Error notRecordedError(const std::string &Job) {
   return {ErrorKind::OutcomeUnknown,
           "it is not certain that the store has the change to job " + Job + "; ask for its status"};
 }
 
-Error handedOver() { return {ErrorKind::NotOwner, "the shard is being handed over"}; }
+Error handedOverError() { return {ErrorKind::NotOwner, "the shard is being handed over"}; }
 
-Error noSuchJob(const std::string &Job) { return {ErrorKind::NotFound, "there is no job " + Job}; }
+Error noSuchJobError(const std::string &Job) {
+  return {ErrorKind::NotFound, "there is no job " + Job};
+}
 
 std::string_view homePhaseName(const HomeTask &Task) {
   switch (Task.Phase) {
@@ -108,7 +110,7 @@
 
 json::array taskList(const HomeJob &Job) {
   json::array Tasks;
-  for (uint32_t I = 0; I < Job.Tasks.size() && I < MaxListed; ++I) {
+  for (uint32_t I = 0; I < Job.Tasks.size() && I < MaxListedTasks; ++I) {
     const HomeTask &Task = Job.Tasks[I];
     json::object Line{{"index", I}, {"phase", homePhaseName(Task)}};
     if (Task.Phase == HomePhase::Lent)
@@ -151,14 +153,14 @@
         co_return Error{ErrorKind::StoreUnavailable,
                         "the store does not answer, so the job can't be recorded"};
       if (Draining || !mayModifyState())
-        co_return handedOver();
+        co_return handedOverError();
       if (Tools.Directory.capableShards(Spec).empty())
         co_return Error{ErrorKind::Impossible, Tools.Directory.explainImpossible(Spec)};
       execute(acceptJob(State, Spec, Tools.Time.Now()), callbackOf(Waiter));
     }
   }
   if (co_await waitFor(Waiter) != Durability::Stored)
-    co_return notRecorded(Spec.Id);
+    co_return notRecordedError(Spec.Id);
   logEvent(events::JobAccepted, {{"shard", std::to_string(Shard)}, {"job", Spec.Id}});
   co_return json::serialize(json::object{{"id", Spec.Id}, {"state", "accepted"}});
 }
@@ -167,7 +169,7 @@
   std::lock_guard Lock(Mutex);
   const auto Found = State.Jobs.find(Job);
   if (Found == State.Jobs.end())
-    return noSuchJob(Job);
+    return noSuchJobError(Job);
   json::object Root = jobSummary(Found->second);
   Root["tasks"] = taskList(Found->second);
   return json::serialize(Root);
@@ -188,16 +190,16 @@
     std::lock_guard Lock(Mutex);
     const auto Found = State.Jobs.find(Job);
     if (Found == State.Jobs.end())
-      co_return noSuchJob(Job);
+      co_return noSuchJobError(Job);
     if (!Tools.Log.storeUp())
       co_return Error{ErrorKind::StoreUnavailable,
                       "the store does not answer, so the cancel can't be recorded"};
     if (!mayModifyState())
-      co_return handedOver();
+      co_return handedOverError();
     execute(cancelJob(State, Job), callbackOf(Waiter));
   }
   if (co_await waitFor(Waiter) != Durability::Stored)
-    co_return notRecorded(Job);
+    co_return notRecordedError(Job);
   co_return json::serialize(json::object{{"id", Job}, {"state", "cancelling"}});
 }
 
@@ -207,12 +209,12 @@
     std::lock_guard Lock(Mutex);
     const auto Found = State.Jobs.find(Job);
     if (Found == State.Jobs.end())
-      co_return noSuchJob(Job);
+      co_return noSuchJobError(Job);
     if (Found->second.Spec->Kind != JobKind::Service || Count < Found->second.Tasks.size())
       co_return Error{ErrorKind::BadRequest,
                       "only a service can be resized, and only to a larger count"};
     if (!mayModifyState())
-      co_return handedOver();
+      co_return handedOverError();
     wire::Record What;
     What.set_shard(Shard);
     What.mutable_job_resized()->set_job(Job);
@@ -223,7 +225,7 @@
     execute(std::move(Resized), callbackOf(Waiter));
   }
   if (co_await waitFor(Waiter) != Durability::Stored)
-    co_return notRecorded(Job);
+    co_return notRecordedError(Job);
   co_return json::serialize(json::object{{"id", Job}, {"count", Count}});
 }
 
@@ -231,31 +233,31 @@
   std::lock_guard Lock(Mutex);
   const auto Found = State.Jobs.find(Job);
   if (Found == State.Jobs.end())
-    return noSuchJob(Job);
+    return noSuchJobError(Job);
   const HomeJob &Home = Found->second;
   json::object Root = jobSummary(Home);
   Root["home_shard"] = Shard;
   Root["owner"] = Tools.Self;
   Root["owner_epoch"] = Epoch;
   const TimePoint Now = Tools.Time.Now();
-  const std::vector<uint32_t> Able = Tools.Directory.capableShards(*Home.Spec);
+  const std::vector<uint32_t> Capable = Tools.Directory.capableShards(*Home.Spec);
   json::array Shards;
-  const auto Rooms = Tools.Directory.loads();
-  for (const uint32_t Other : Able) {
-    const auto Room = Rooms.find(Other);
+  const auto Loads = Tools.Directory.loads();
+  for (const uint32_t Other : Capable) {
+    const auto Load = Loads.find(Other);
     json::object Line{{"shard", Other}, {"owner", toString(ownerOf(Other))}};
-    if (Room != Rooms.end()) {
-      Line["workers_usable"] = Room->second.Workers;
-      Line["queued"] = Room->second.Queued;
-      Line["room_now"] = fits(Home.Spec->Size, Room->second.LargestFree);
+    if (Load != Loads.end()) {
+      Line["workers_usable"] = Load->second.Workers;
+      Line["queued"] = Load->second.Queued;
+      Line["room_now"] = fits(Home.Spec->Size, Load->second.LargestFree);
       Line["heard_ms_ago"] =
-          std::chrono::duration_cast<Milliseconds>(Now - Room->second.ReceivedAt).count();
+          std::chrono::duration_cast<Milliseconds>(Now - Load->second.ReceivedAt).count();
     }
     Shards.push_back(std::move(Line));
   }
   Root["capable_shards"] = std::move(Shards);
   Root["why"] = Home.Ended == Home.Tasks.size() ? "all tasks have ended"
-                : Able.empty()                  ? Tools.Directory.explainImpossible(*Home.Spec)
+                : Capable.empty()               ? Tools.Directory.explainImpossible(*Home.Spec)
                 : Home.Waiting > 0
                     ? "tasks wait at the home shard for room on a capable shard"
                     : "all tasks are placed or queued on the shards named in 'tasks'";
@@ -291,7 +293,7 @@
       co_return Reply;
     }
     releaseHeldCapacity(State, Request.spec().id());
-    execute(adoptTasks(State, Request, Tools.Time.Now()), softCallbackOf(Waiter));
+    execute(adoptTasks(State, Request, Tools.Time.Now()), callbackAcceptingWitnessed(Waiter));
   }
   if (mayAct())
     tick();
@@ -354,16 +356,16 @@
   }
   std::vector<std::pair<uint32_t, uint32_t>> Held;
   uint32_t Left = Spec ? Spec->Count : 0;
-  const std::vector<uint32_t> Able =
+  const std::vector<uint32_t> Capable =
       Spec ? This->Tools.Directory.capableShards(*Spec) : std::vector<uint32_t>{};
-  for (const uint32_t Other : Able) {
+  for (const uint32_t Other : Capable) {
     if (Left == 0)
       break;
     wire::HoldRequest Request;
     Request.set_shard(Other);
     *Request.mutable_spec() = specToWire(*Spec);
     Request.set_count(Left);
-    Request.set_valid_ms(HoldLife.count());
+    Request.set_valid_ms(HoldDuration.count());
     const Endpoint To = This->ownerOf(Other);
     if (To.Port == 0)
       continue;
--- a/src/entry/shard_runner.cpp
+++ b/src/entry/shard_runner.cpp
@@ -13,15 +13,15 @@
 namespace asio = boost::asio;
 namespace {
 // Ticks come with events; without any, often enough for what only time brings.
-constexpr Milliseconds TickAtLeastEvery{200};
+constexpr Milliseconds MaxTickInterval{200};
 // Events that come close together share a tick.
-constexpr Milliseconds TickAtMostEvery{5};
-constexpr Milliseconds SlowTickEvery{250};
-constexpr Milliseconds BoxLookEvery{500};
-constexpr std::chrono::minutes ForgetEvery{1};
+constexpr Milliseconds MinTickInterval{5};
+constexpr Milliseconds SlowTickInterval{250};
+constexpr Milliseconds BoxSyncInterval{500};
+constexpr std::chrono::minutes ForgetInterval{1};
 constexpr Milliseconds WorkerRetryPause{250};
-constexpr Milliseconds DoubtWait{200};
-constexpr Milliseconds PredecessorProbeEvery{300};
+constexpr Milliseconds UncertainStartPollWait{200};
+constexpr Milliseconds PredecessorProbeInterval{300};
 } // namespace
 
 // The effects of one decision, carried out at most once each.
@@ -30,8 +30,8 @@
   Decision What;
   DurableCallback Also;
   std::mutex Mutex;
-  bool StartsSent = false; ///< Those of repeatable tasks. Guarded by Mutex.
-  bool RestDone = false;   ///< Guarded by Mutex.
+  bool StartsSent = false;       ///< Those of repeatable tasks. Guarded by Mutex.
+  bool OtherEffectsSent = false; ///< Guarded by Mutex.
 };
 
 ShardRunner::ShardRunner(uint32_t Shard, uint64_t Epoch, ShardTools Tools)
@@ -128,7 +128,7 @@
     return;
   }
   std::vector<StartEffect> Starts;
-  bool DoRest = false;
+  bool SendOtherEffects = false;
   {
     std::lock_guard Lock(Done->Mutex);
     // Without the store, only what may be repeated is started.
@@ -138,8 +138,8 @@
         Starts.push_back(Start);
     }
     Done->StartsSent = true;
-    DoRest = !Done->RestDone;
-    Done->RestDone = true;
+    SendOtherEffects = !Done->OtherEffectsSent;
+    Done->OtherEffectsSent = true;
   }
   for (StartEffect &Start : Starts)
     spawnLater(Tools.Where, sendStart(shared_from_this(), std::move(Start)));
@@ -147,7 +147,7 @@
     Done->Also(Value);
   if (Value == Durability::Stored)
     queueForgets(Done->What.Forgets);
-  if (!DoRest)
+  if (!SendOtherEffects)
     return;
   for (const ControlEffect &Control : Done->What.Controls)
     spawnLater(Tools.Where, sendControl(shared_from_this(), Control));
@@ -296,7 +296,7 @@
     return Tools.Directory.usedElsewhere(Key, Shard);
   };
   execute(placeQueued(State, *Config, Tools.Log.storeUp(), Elsewhere, Tools.Limits, Now, Wall));
-  const bool Slow = Now - LastSlowTick >= SlowTickEvery;
+  const bool Slow = Now - LastSlowTick >= SlowTickInterval;
   ResendReports = ResendReports || Slow;
   if (Stage == ReportStage::None && (Slow || !State.Dirty.empty())) {
     enterStage(ReportStage::Journal);
@@ -315,7 +315,7 @@
   if (!Slow)
     return;
   LastSlowTick = Now;
-  if (Now - LastForget >= ForgetEvery) {
+  if (Now - LastForget >= ForgetInterval) {
     LastForget = Now;
     execute(forgetEndedJobs(State, Tools.Limits, Now, Wall));
   }
@@ -339,11 +339,11 @@
   while (!This->Stopped) {
     This->TickRequested = false;
     This->tick();
-    co_await sleepFor(TickAtMostEvery);
+    co_await sleepFor(MinTickInterval);
     if (This->TickRequested)
       continue;
     co_await asio::post(This->TickTimer.get_executor(), asio::use_awaitable);
-    This->TickTimer.expires_after(This->TickRequested ? Milliseconds(0) : TickAtLeastEvery);
+    This->TickTimer.expires_after(This->TickRequested ? Milliseconds(0) : MaxTickInterval);
     co_await This->TickTimer.async_wait(asio::as_tuple(asio::use_awaitable));
   }
 }
@@ -354,8 +354,8 @@
   if (!mayAct() || !mayModifyState())
     return;
   execute(onBoxList(State, Workers, Tools.Time.Now(), Tools.Time.Wall()));
-  for (const auto &[Name, Book] : State.Workers)
-    if (Book->Health != WorkerHealth::Gone && PolledWorkers.insert(Name).second)
+  for (const auto &[Name, Current] : State.Workers)
+    if (Current->Health != WorkerHealth::Gone && PolledWorkers.insert(Name).second)
       spawnLater(Tools.Where, workerLoop(shared_from_this(), Name));
 }
 
@@ -364,7 +364,7 @@
     // An empty list is taken for one that was not read yet.
     if (!This->Tools.Directory.boxes()->empty())
       This->syncBoxes();
-    co_await sleepFor(BoxLookEvery);
+    co_await sleepFor(BoxSyncInterval);
   }
 }
 
@@ -372,22 +372,22 @@
   WorkerSync Sync;
   const bool MayAct = mayAct();
   std::lock_guard Lock(Mutex);
-  const WorkerState &Book = *State.Workers.at(Worker);
+  const WorkerState &Current = *State.Workers.at(Worker);
   // After a call that was not answered, the next renews nothing; see onWorkerSilent.
-  const bool Renew = MayAct && Book.FailedCalls == 0;
+  const bool Renew = MayAct && Current.FailedCalls == 0;
   Sync.Wait = Tools.Times.WorkerPoll;
   Sync.After = ListVersions[Worker];
   Sync.Forget = std::exchange(PendingForgets[Worker], {});
   if (Renew)
     Sync.RenewFor = Tools.Times.TaskLease;
-  for (const TaskKey &Key : Book.AssignedTasks) {
+  for (const TaskKey &Key : Current.AssignedTasks) {
     const AssignedTask &Task = State.AssignedTasks.at(Key);
     if (Renew)
       Sync.Renew.push_back(workerTaskId(Key, Task.Attempt));
     if (Task.Uncertainty != StartUncertainty::None)
-      Sync.Wait = std::min(Sync.Wait, DoubtWait);
+      Sync.Wait = std::min(Sync.Wait, UncertainStartPollWait);
   }
-  if (Book.Health != WorkerHealth::Ready || Book.FailedCalls > 0)
+  if (Current.Health != WorkerHealth::Ready || Current.FailedCalls > 0)
     Sync.Wait = Milliseconds(0);
   return Sync;
 }
@@ -419,12 +419,12 @@
     Endpoint Address;
     {
       std::lock_guard Lock(This->Mutex);
-      const WorkerState &Book = *This->State.Workers.at(Worker);
-      if (Book.Health == WorkerHealth::Gone) {
+      const WorkerState &Current = *This->State.Workers.at(Worker);
+      if (Current.Health == WorkerHealth::Gone) {
         This->PolledWorkers.erase(Worker);
         co_return;
       }
-      Address = Book.Box.Address;
+      Address = Current.Box.Address;
     }
     const TimePoint AskedAt = This->Tools.Time.Now();
     Result<WorkerReport> Answer = co_await This->Tools.Workers.Sync(Address, Sync);
@@ -460,7 +460,7 @@
     }
     if (Gone && This->markPredecessorGone())
       co_return;
-    co_await sleepFor(PredecessorProbeEvery);
+    co_await sleepFor(PredecessorProbeInterval);
   }
 }
 
@@ -473,13 +473,14 @@
   Resources Free;
   Resources Largest;
   uint32_t Usable = 0;
-  for (const PlacementCandidate &Room : State.Candidates) {
-    if (!Room.Usable)
+  for (const PlacementCandidate &Candidate : State.Candidates) {
+    if (!Candidate.Usable)
       continue;
     ++Usable;
-    Free += Room.Free;
-    if (Room.Free.MilliCores >= Largest.MilliCores && Room.Free.MemoryMb >= Largest.MemoryMb)
-      Largest = Room.Free;
+    Free += Candidate.Free;
+    if (Candidate.Free.MilliCores >= Largest.MilliCores &&
+        Candidate.Free.MemoryMb >= Largest.MemoryMb)
+      Largest = Candidate.Free;
   }
   Summary.set_workers(Usable);
   *Summary.mutable_free() = resourcesToWire(Free);
@@ -494,25 +495,25 @@
 
 ShardStats ShardRunner::stats() {
   std::lock_guard Lock(Mutex);
-  ShardStats Figures;
-  Figures.Starts = State.Starts;
-  Figures.Jobs = State.Jobs.size();
-  Figures.AssignedTasks = State.AssignedTasks.size();
-  Figures.Queued = State.Queue.size();
-  Figures.Workers = State.Workers.size();
+  ShardStats Stats;
+  Stats.Starts = State.Starts;
+  Stats.Jobs = State.Jobs.size();
+  Stats.AssignedTasks = State.AssignedTasks.size();
+  Stats.Queued = State.Queue.size();
+  Stats.Workers = State.Workers.size();
   for (const auto &[Key, Task] : State.AssignedTasks) {
-    Figures.Running += Task.Phase == AssignedPhase::Running ? 1 : 0;
+    Stats.Running += Task.Phase == AssignedPhase::Running ? 1 : 0;
     const bool Over = Task.Phase == AssignedPhase::Ended || Task.Phase == AssignedPhase::Returned;
-    Figures.Unreported += Over ? 1 : 0;
+    Stats.Unreported += Over ? 1 : 0;
   }
-  Figures.StartsInFlight = StartsInFlight;
-  Figures.Draining = Draining;
-  Figures.Stage = Stage;
+  Stats.StartsInFlight = StartsInFlight;
+  Stats.Draining = Draining;
+  Stats.Stage = Stage;
   if (Stage != ReportStage::None)
-    Figures.TimeInStage = std::chrono::duration_cast<Milliseconds>(Tools.Time.Now() - StageSince);
-  for (const auto &[Name, Book] : State.Workers)
-    Figures.WorkersReady += Book->Health == WorkerHealth::Ready ? 1 : 0;
-  return Figures;
+    Stats.TimeInStage = std::chrono::duration_cast<Milliseconds>(Tools.Time.Now() - StageSince);
+  for (const auto &[Name, Current] : State.Workers)
+    Stats.WorkersReady += Current->Health == WorkerHealth::Ready ? 1 : 0;
+  return Stats;
 }
 
 } // namespace valveshelf
--- a/src/entry/shard_runner_test.cpp
+++ b/src/entry/shard_runner_test.cpp
@@ -20,9 +20,9 @@
 
 constexpr uint32_t Shard = 2;
 
-class HandOver : public ::testing::Test {
+class ShardHandOver : public ::testing::Test {
 protected:
-  HandOver()
+  ShardHandOver()
       : Budget(100000, 100000),
         Log(Io.get_executor(), "owner.1", Store.ops(), Clock{}, {}, Budget,
             [](std::vector<wire::JournalEntry>) -> Awaitable<bool> { co_return true; }),
@@ -73,7 +73,7 @@
     return wait(Runner->onReportReceived(Report)).recorded();
   }
 
-  bool isCancelTaken() {
+  bool isCancelAccepted() {
     wire::CancelRequest Request;
     Request.add_key()->set_job("job-69");
     return wait(Runner->onCancel(Request)).done();
@@ -89,30 +89,30 @@
   std::shared_ptr<ShardRunner> Runner;
 };
 
-TEST_F(HandOver, NothingIsConfirmedOnceTheStateIsWrittenDown) {
+TEST_F(ShardHandOver, DrainedShardRejectsChanges) {
   ASSERT_FALSE(wait(Runner->drain()).empty());
   EXPECT_FALSE(isReportRecorded());
-  EXPECT_FALSE(isCancelTaken());
+  EXPECT_FALSE(isCancelAccepted());
   EXPECT_FALSE(ok(wait(Runner->resize("job-69", 5))));
   const Result<std::string> Cancelled = wait(Runner->cancel("job-69"));
   ASSERT_FALSE(ok(Cancelled));
   EXPECT_EQ(error(Cancelled).Kind, ErrorKind::NotOwner);
 }
 
-TEST_F(HandOver, AShardThatIsKeptAfterAllGoesOn) {
+TEST_F(ShardHandOver, ResumedShardAcceptsChanges) {
   wait(Runner->drain());
   Runner->resume();
   EXPECT_TRUE(isReportRecorded());
-  EXPECT_TRUE(isCancelTaken());
+  EXPECT_TRUE(isCancelAccepted());
   EXPECT_TRUE(ok(wait(Runner->resize("job-69", 5))));
   EXPECT_TRUE(ok(wait(Runner->cancel("job-69"))));
 }
 
-TEST_F(HandOver, NothingIsConfirmedAfterTheShardHasGone) {
+TEST_F(ShardHandOver, StoppedShardRejectsChanges) {
   wait(Runner->drain());
   Runner->stop();
   EXPECT_FALSE(isReportRecorded());
-  EXPECT_FALSE(isCancelTaken());
+  EXPECT_FALSE(isCancelAccepted());
 }
 
 } // namespace
--- a/src/include/valveshelf/entry_process.h
+++ b/src/include/valveshelf/entry_process.h
@@ -19,7 +19,7 @@
 class EntryProcess {
 public:
   /// \p Client outlives the process object. Opens nothing yet.
-  EntryProcess(Executor Where, EntrySettings Settings, Clock Time, Platform From,
+  EntryProcess(Executor Where, EntrySettings Settings, Clock Time, Platform PlatformAccess,
                HttpClient &Client);
 
   /// Binds all addresses and joins the cell. Returns once the listeners serve; joining goes on.
@@ -35,13 +35,13 @@
   Awaitable<void> gossipLoop();
   Awaitable<void> refreshLoop();
   Awaitable<void> gossipWith(MemberInfo Peer);
-  Awaitable<void> stopNow(std::function<void(int)> Finished);
+  Awaitable<void> stopGracefully(std::function<void(int)> Finished);
   std::shared_ptr<Session> session() const;
   std::shared_ptr<ShardRunner> runner(uint32_t Shard) const;
   PeerHandlers peerHandlers();
-  std::vector<MemberInfo> gossipPartners() const;
-  wire::ExchangeRequest ownNews();
-  void hear(const wire::ExchangeRequest &News);
+  std::vector<MemberInfo> gossipPeers() const;
+  wire::ExchangeRequest ownGossip();
+  void applyGossip(const wire::ExchangeRequest &Message);
   Awaitable<Result<Done>> checkShardCount();
 
   Awaitable<void> serveCaller(HttpExchange &Exchange);
@@ -55,34 +55,34 @@
   HttpResponse metrics();
   HttpResponse members();
   Awaitable<HttpResponse> listJobs(std::string Target);
-  std::optional<std::string> partnerOf(const HeaderList &Headers) const;
+  std::optional<std::string> authenticatedPartner(const HeaderList &Headers) const;
 
   /// Carries the operation out at the owner of \p Shard, here or at a peer.
-  Awaitable<Result<std::string>> atOwner(uint32_t Shard, std::string Operation, std::string Target,
-                                         std::string Body);
-  Awaitable<Result<std::string>> operate(uint32_t Shard, std::string Operation, std::string Target,
-                                         std::string Body);
+  Awaitable<Result<std::string>> runAtOwner(uint32_t Shard, std::string Operation,
+                                            std::string Target, std::string Body);
+  Awaitable<Result<std::string>> runLocally(uint32_t Shard, std::string Operation,
+                                            std::string Target, std::string Body);
 
   const Executor Where;
   const EntrySettings Settings;
   const Clock Time;
-  const Platform From;
+  const Platform PlatformAccess;
   HttpClient &Client;
   const PeerOps Peers;
   CellWatch Watch;
   ShardDirectory Directory;
   ConfigKeeper Config;
-  Router Requests;
+  Router RequestRouter;
   HttpServer Callers;
   HttpServer Operators;
-  PeerServer PeersIn;
+  PeerServer PeerListener;
   std::atomic<bool> Stopping{false};
   std::atomic<bool> Joined{false};
   std::function<void(int)> OnFatal;
   mutable std::mutex Mutex;
   std::vector<std::shared_ptr<Session>> Sessions; ///< The last is current. Guarded by Mutex.
   std::map<std::string, uint64_t> ConfigVersions; ///< By member, as heard. Guarded by Mutex.
-  size_t GossipNext = 0;
+  size_t NextGossipPeer = 0;
 
 public:
   /// Called with an exit code if the process can't go on.
--- a/src/include/valveshelf/session.h
+++ b/src/include/valveshelf/session.h
@@ -35,14 +35,14 @@
   /// Takes the lease and begins to claim. Conflict: the name is taken.
   Awaitable<Result<Done>> join();
   /// True once the session can do no more.
-  bool over() const;
+  bool hasEnded() const;
   /// Gives up everything at once.
   void abandon();
   /// The planned end: announces it, hands over, gives the lease back. Returns how many shards
   /// found no heir.
   Awaitable<size_t> leave();
   /// True if no start of this session can still be on its way.
-  bool quiet() const;
+  bool hasStoppedSending() const;
   bool mayAct();
 
   Journal &journal() { return Log; }
@@ -51,7 +51,7 @@
   SharedAuthority &authority() { return Shared; }
 
 private:
-  void shareBudget();
+  void updateWriteRate();
   Awaitable<void> watchLoop();
 
   const SessionTools Tools;
