--- a/src/include/valveshelf/entry_process.h
+++ b/src/include/valveshelf/entry_process.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The entry process as a whole: servers for callers, operators and peers around the session,
-// the router and the configuration.
+// The entry process: servers for callers, operators and peers, the current session in the cell,
+// the request router and the configuration.
 #pragma once
 
 #include "valveshelf/router.h"
@@ -15,16 +15,18 @@
 
 namespace valveshelf {
 
-/// Safe from any thread.
+/// Thread-safe.
 class EntryProcess {
 public:
-  /// \p Client outlives the process object. Opens nothing yet.
+  /// \p Client must outlive this object. Opens no sockets.
   EntryProcess(Executor Where, EntrySettings Settings, Clock Time, Platform PlatformAccess,
                HttpClient &Client);
 
-  /// Binds all addresses and joins the cell. Returns once the listeners serve; joining goes on.
+  /// Binds all addresses and starts joining the cell. Returns once the listeners accept
+  /// connections; joining continues in the background.
   Result<Done> start();
-  /// Runs the planned stop and then calls \p Finished with the exit code.
+  /// Starts a graceful shutdown and calls \p Finished with the exit code when it completes. Later
+  /// calls have no effect.
   void beginStop(std::function<void(int)> Finished);
 
 private:
@@ -57,7 +59,7 @@
   Awaitable<HttpResponse> listJobs(std::string Target);
   std::optional<std::string> authenticatedPartner(const HeaderList &Headers) const;
 
-  /// Carries the operation out at the owner of \p Shard, here or at a peer.
+  /// Runs the operation at the owner of \p Shard, in this process or at a peer, with retries.
   Awaitable<Result<std::string>> runAtOwner(uint32_t Shard, std::string Operation,
                                             std::string Target, std::string Body);
   Awaitable<Result<std::string>> runLocally(uint32_t Shard, std::string Operation,
@@ -80,12 +82,13 @@
   std::atomic<bool> Joined{false};
   std::function<void(int)> OnFatal;
   mutable std::mutex Mutex;
-  std::vector<std::shared_ptr<Session>> Sessions; ///< The last is current. Guarded by Mutex.
-  std::map<std::string, uint64_t> ConfigVersions; ///< By member, as heard. Guarded by Mutex.
+  std::vector<std::shared_ptr<Session>> Sessions; ///< The last one is current. Guarded by Mutex.
+  std::map<std::string, uint64_t> ConfigVersions; ///< Last gossiped, by member. Guarded by Mutex.
   size_t NextGossipPeer = 0;
 
 public:
-  /// Called with an exit code if the process can't go on.
+  /// Sets the function called with an exit code if the process cannot continue. Call before
+  /// `start`.
   void onFatal(std::function<void(int)> Function) { OnFatal = std::move(Function); }
 };
 
