--- a/src/include/valveshelf/session.h
+++ b/src/include/valveshelf/session.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // One incarnation of an entry process in the cell: its journal, lease, promises and shards.
-// When the journal is sealed by another, the session is over and the process begins a new one.
+// The session ends when another process seals its journal; the entry process then starts a new one.
 #pragma once
 
 #include "valveshelf/config_keeper.h"
@@ -12,7 +12,7 @@
 
 namespace valveshelf {
 
-/// What sessions of one process share. Everything outlives them.
+/// Dependencies shared by the sessions of one process. All of them must outlive the sessions.
 struct SessionTools {
   Executor Where;
   Clock Time;
@@ -25,24 +25,26 @@
   ConfigSource Config;
 };
 
-/// Safe from any thread. Never destroyed before the process ends, since its loops refer to it.
+/// Thread-safe. Must not be destroyed before the process ends, because its loops refer to it.
 class Session {
 public:
-  /// \p LogId names the incarnation; no other may ever have had it.
+  /// \p LogId identifies the incarnation and must never have been used before.
   Session(SessionTools Tools, std::string LogId);
 
   const std::string &logId() const { return Self.Log; }
-  /// Takes the lease and begins to claim. Conflict: the name is taken.
+  /// Acquires the lease and starts claiming shards. Fails with Conflict if the member name is
+  /// taken.
   Awaitable<Result<Done>> join();
-  /// True once the session can do no more.
+  /// True once the session was abandoned. It never becomes active again.
   bool hasEnded() const;
-  /// Gives up everything at once.
+  /// Fences the session and stops its loops at once, without handing shards over.
   void abandon();
-  /// The planned end: announces it, hands over, gives the lease back. Returns how many shards
-  /// found no heir.
+  /// Graceful shutdown: announces it, hands the shards over and releases the lease. Returns the
+  /// number of shards that could not be handed over.
   Awaitable<size_t> leave();
-  /// True if no start of this session can still be on its way.
+  /// True once the session has ended and none of its task starts can still be in flight.
   bool hasStoppedSending() const;
+  /// True while the session has the authority to act for its shards.
   bool mayAct();
 
   Journal &journal() { return Log; }
