--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Life of the entry process: joining, gossip, boxes, peers' calls, and the planned stop.
+// Lifecycle of the entry process: joining the cell, gossip, the box list, the handlers of peer
+// calls, and graceful shutdown.
 #include "valveshelf/entry_process.h"
 
 #include "valveshelf/events.h"
@@ -26,7 +27,7 @@
   return Out;
 }
 
-// A name that no incarnation ever had: the member's, the time, and a random part.
+// Unique per incarnation: the member's name, the wall-clock time and a random number.
 std::string newLogId(const std::string &Member, WallTime Now) {
   std::random_device Random;
   return Member + "." + std::to_string(Now.time_since_epoch().count()) + "." +
@@ -83,7 +84,8 @@
   return Current ? Current->ownership().find(Shard) : nullptr;
 }
 
-// All processes of a cell must agree on the number of shards, or two would own the same rack.
+// All processes of a cell must agree on the number of shards; otherwise two of them could own the
+// same rack.
 Awaitable<Result<Done>> EntryProcess::checkShardCount() {
   const std::string Mine = std::to_string(Settings.Shards);
   while (Watch.view()->ShardsText.empty()) {
@@ -93,12 +95,13 @@
     co_await Watch.load();
   }
   if (Watch.view()->ShardsText != Mine)
-    co_return Error{ErrorKind::BadSettings, "cell.shards is " + Mine + " here and " +
+    co_return Error{ErrorKind::BadSettings, "cell.shards is " + Mine + " here but " +
                                                 Watch.view()->ShardsText + " in the cell"};
   co_return Done{};
 }
 
-// Joins the cell, and joins it anew whenever another process sealed this one's journal.
+// Joins the cell, and joins it again with a new session whenever another process has sealed this
+// one's journal.
 Awaitable<void> EntryProcess::joinLoop() {
   while (!ok(co_await Watch.load()))
     co_await sleepFor(RetryPause);
@@ -187,7 +190,8 @@
   const wire::ExchangeRequest Message = ownGossip();
   Result<wire::ExchangeReply> Reply = co_await Peers.Exchange(Peer.Peers, Message);
   if (!ok(Reply)) {
-    // A frozen or cut-off process still has its listener; only one that is gone refuses.
+    // A frozen or partitioned process still has a listener; a refused connection means that it has
+    // exited.
     const PeerOps::ProbeResult Probed = co_await Peers.Probe(Peer.Peers);
     if (Probed == PeerOps::ProbeResult::Refused && !Peer.Log.empty())
       Watch.noteGone(Peer.Log);
@@ -201,8 +205,8 @@
   applyGossip(Received);
 }
 
-// Whom to exchange news with: members, and entry boxes of the platform's list, so that a process
-// that starts in a store outage finds its peers too.
+// Members of the cell, plus the entry boxes on the platform's list, so that a process that starts
+// during a store outage can find its peers.
 std::vector<MemberInfo> EntryProcess::gossipPeers() const {
   std::map<Endpoint, MemberInfo> Found;
   for (const BoxInfo &Box : *Directory.boxes()) {
@@ -222,8 +226,8 @@
   return Partners;
 }
 
-// Exchanges news with a bounded number of peers a round, in turn. Without news of its own a
-// process speaks more seldom.
+// Exchanges state with up to GossipFanOut peers per round, in rotation. While its own state is
+// unchanged, the process gossips only every UnchangedGossipPeriod rounds.
 Awaitable<void> EntryProcess::gossipLoop() {
   std::string LastSent;
   int UnchangedRounds = 0;
@@ -277,7 +281,7 @@
         }
     }
     Reply.set_gone(!Known || StoppedSending);
-    // If it is the current one, its next write to the journal will find the seal.
+    // If the log is the current session's, this append makes it discover the seal.
     if (const auto Current = session(); Known && Current)
       Current->journal().append({}, {});
     co_return Reply;
@@ -333,7 +337,8 @@
     spawnLater(Where, stopGracefully(std::move(Finished)));
 }
 
-// Withdraws readiness, hands the shards over, lets requests finish, gives the lease back.
+// Hands the shards over, releases the lease, stops accepting callers, and waits up to StopGrace for
+// requests in progress. `beginStop` has already withdrawn readiness.
 Awaitable<void> EntryProcess::stopGracefully(std::function<void(int)> Finished) {
   logEvent(events::Stopping, {{"member", Settings.Member}});
   const TimePoint Deadline = Time.Now() + Settings.Timing.StopGrace;
