--- a/src/entry/shard_runner.cpp
+++ b/src/entry/shard_runner.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The loops of an owned shard: ticks, worker calls, the box list, the predecessor's end, and
-// the effects of decisions once their records are durable.
+// The loops of an owned shard: ticks, worker polling, the box list and probing of the predecessor;
+// and the execution of decisions once their records are durable.
 #include "valveshelf/shard_runner.h"
 
 #include "valveshelf/events.h"
@@ -12,9 +12,9 @@
 namespace valveshelf {
 namespace asio = boost::asio;
 namespace {
-// Ticks come with events; without any, often enough for what only time brings.
+// Ticks are triggered by events; this bounds the delay of time-based decisions without any.
 constexpr Milliseconds MaxTickInterval{200};
-// Events that come close together share a tick.
+// Events that arrive within this interval share a tick.
 constexpr Milliseconds MinTickInterval{5};
 constexpr Milliseconds SlowTickInterval{250};
 constexpr Milliseconds BoxSyncInterval{500};
@@ -24,13 +24,13 @@
 constexpr Milliseconds PredecessorProbeInterval{300};
 } // namespace
 
-// The effects of one decision, carried out at most once each.
+// A decision whose records are being made durable. Each effect is carried out at most once.
 struct ShardRunner::PendingDecision {
   Self Owner;
   Decision What;
   DurableCallback Also;
   std::mutex Mutex;
-  bool StartsSent = false;       ///< Those of repeatable tasks. Guarded by Mutex.
+  bool StartsSent = false;       ///< Of repeatable tasks. Guarded by Mutex.
   bool OtherEffectsSent = false; ///< Guarded by Mutex.
 };
 
@@ -78,7 +78,7 @@
     HandedOver = true;
     Written = snapshotOf(State);
   }
-  // What was decided before is durable and carried out here before the shard goes.
+  // Earlier decisions are durable and executed here before the shard is handed over.
   co_await Tools.Log.barrier();
   co_return Written;
 }
@@ -95,7 +95,7 @@
              {{"shard", Number}, {"subject", What.Subject}, {"detail", "\"" + What.Detail + "\""}});
 }
 
-// Called under Mutex, so that records reach the journal in the order they were applied.
+// Call under Mutex, so that records reach the journal in the order in which they were applied.
 void ShardRunner::execute(Decision What, DurableCallback Also) {
   if (!mayModifyState()) {
     if (Also)
@@ -106,7 +106,7 @@
                        What.Forgets.empty() && What.Lends.empty() && What.Cancels.empty();
   if (Nothing && !Also)
     return logNotices(What.Notices);
-  // Nearly everything that changes the state gives the next tick something to do.
+  // Most state changes give the next tick work to do.
   if (!What.Records.empty() || !What.Notices.empty())
     requestTick();
   StartsInFlight += static_cast<int>(What.Starts.size());
@@ -131,7 +131,7 @@
   bool SendOtherEffects = false;
   {
     std::lock_guard Lock(Done->Mutex);
-    // Without the store, only what may be repeated is started.
+    // Until the records are stored, only repeatable tasks are started.
     for (const StartEffect &Start : Done->What.Starts) {
       const bool Early = Start.Spec->Repeatable;
       if (Early ? !Done->StartsSent : Value == Durability::Stored)
@@ -158,11 +158,11 @@
   logNotices(Done->What.Notices);
 }
 
-// Lets workers forget ended tasks, once the store has their ends.
+// Lets workers forget ended tasks. Call once the store has recorded that they ended.
 void ShardRunner::queueForgets(const std::vector<ForgetEffect> &Ended) {
   if (Ended.empty())
     return;
-  // A decision without records comes here under Mutex, one with records does not.
+  // Posted, because the caller holds Mutex if the decision has no records.
   asio::post(Tools.Where, [This = shared_from_this(), Ended] {
     std::lock_guard Lock(This->Mutex);
     for (const ForgetEffect &Effect : Ended)
@@ -173,12 +173,12 @@
 Awaitable<void> ShardRunner::sendStart(Self This, StartEffect Effect) {
   const ShardTools &Tools = This->Tools;
   StartAnswer Answer = StartAnswer::NotSent;
-  // The last look before the bytes leave. A pause right here cannot be excluded; the intent is
-  // journalled, so a successor keeps the room booked until there is proof.
+  // Last check before sending. The process can still be paused right after it; the intent is
+  // journalled, so a successor keeps the capacity booked until the outcome is proven.
   if (This->mayAct())
     Answer = co_await Tools.Workers.Start(Effect.Address, workerTaskId(Effect.Key, Effect.Attempt),
                                           Effect.Spec, Tools.Times.TaskLease);
-  // Counted until its answer is part of the state: a drain waits for it.
+  // Counted until the answer is applied to the state, because a drain waits for it.
   std::lock_guard Lock(This->Mutex);
   --This->StartsInFlight;
   if (!This->mayModifyState())
@@ -220,8 +220,7 @@
   if (!ok(Reply) || !value(Reply).adopted())
     co_return;
   std::lock_guard Lock(This->Mutex);
-  if (This->mayModifyState()) // otherwise it is lent again, which the other shard takes for the
-                              // same
+  if (This->mayModifyState()) // otherwise it is lent again, which is idempotent
     onAdopted(This->State, Effect);
 }
 
@@ -238,7 +237,7 @@
     co_await This->Tools.Peers.Cancel(To, std::move(Request));
 }
 
-// Tells home shards what became of their tasks. Only what is durable is told.
+// Reports the status of tasks to their home shards, after it has become durable.
 Awaitable<void> ShardRunner::sendReports(Self This) {
   std::map<uint32_t, wire::ReportRequest> Due;
   {
@@ -276,7 +275,7 @@
   This->enterStage(ReportStage::None);
 }
 
-// Called under Mutex.
+// Call under Mutex.
 void ShardRunner::enterStage(ReportStage Next) {
   Stage = Next;
   StageSince = Tools.Time.Now();
@@ -289,7 +288,7 @@
   if (!mayAct())
     return;
   std::lock_guard Lock(Mutex);
-  // Read under the lock: a drain counts on no start being decided after its own look.
+  // Checked under the lock, so that no start is decided after a drain has captured the state.
   if (Draining || !mayModifyState())
     return;
   const auto Elsewhere = [&](const std::string &Key) {
@@ -328,7 +327,7 @@
   execute(std::move(Cancels));
 }
 
-// Asks for a tick soon.
+// Requests a tick without waiting for MaxTickInterval. Thread-safe.
 void ShardRunner::requestTick() {
   if (TickRequested.exchange(true))
     return;
@@ -361,7 +360,7 @@
 
 Awaitable<void> ShardRunner::boxLoop(Self This) {
   while (!This->Stopped) {
-    // An empty list is taken for one that was not read yet.
+    // An empty list is treated as one that was not read yet.
     if (!This->Tools.Directory.boxes()->empty())
       This->syncBoxes();
     co_await sleepFor(BoxSyncInterval);
@@ -373,7 +372,7 @@
   const bool MayAct = mayAct();
   std::lock_guard Lock(Mutex);
   const WorkerState &Current = *State.Workers.at(Worker);
-  // After a call that was not answered, the next renews nothing; see onWorkerSilent.
+  // After a failed call, the next one does not renew leases; see onWorkerCallFailed.
   const bool Renew = MayAct && Current.FailedCalls == 0;
   Sync.Wait = Tools.Times.WorkerPoll;
   Sync.After = ListVersions[Worker];
@@ -405,7 +404,7 @@
       return;
     return execute(onWorkerCallFailed(State, Worker, Sent.RenewFor.count() > 0, Tools.Limits));
   }
-  // A process that lost its authority meanwhile, or slept, judges nothing by an old list.
+  // Ignore a stale report if the process has lost its authority or was paused during the call.
   if (!MayAct || !mayModifyState() || Now - AskedAt > Tools.Times.Lease + Tools.Times.WorkerPoll)
     return;
   ListVersions[Worker] = value(Answer).Version;
@@ -445,8 +444,8 @@
   return true;
 }
 
-// Asks the predecessor's address until it is sure that the predecessor sends nothing any more:
-// it says so itself, a newer process answers there, or nothing listens there.
+// Polls the predecessor's address until it is certain that the predecessor sends nothing more: it
+// confirms that itself, a newer process answers at the address, or the connection is refused.
 Awaitable<void> ShardRunner::predecessorLoop(Self This) {
   while (!This->Stopped) {
     bool Gone =
