--- a/src/entry/shard_operations.cpp
+++ b/src/entry/shard_operations.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// What callers and peers ask of an owned shard.
+// Operations on an owned shard that callers and peers request.
 #include "valveshelf/events.h"
 #include "valveshelf/shard_runner.h"
 #include "valveshelf/steady_timer.h"
@@ -17,7 +17,7 @@
 constexpr Milliseconds HoldDuration{1500};
 constexpr size_t MaxListedTasks = 1000;
 
-// Waits for a callback from the journal, but not for ever.
+// Waits for a callback from the journal, for at most DurableWait.
 struct DurableWaiter {
   std::optional<Durability> Value;
   SteadyTimer Timer;
@@ -44,7 +44,7 @@
   };
 }
 
-// A callback that is done with Witnessed as well.
+// Like `callbackOf`, but Witnessed also completes the wait.
 DurableCallback callbackAcceptingWitnessed(std::shared_ptr<DurableWaiter> Waiter) {
   return [Waiter](Durability Value) {
     asio::post(Waiter->Timer.get_executor(), [Waiter, Value] {
@@ -57,7 +57,7 @@
 
 Error notRecordedError(const std::string &Job) {
   return {ErrorKind::OutcomeUnknown,
-          "it is not certain that the store has the change to job " + Job + "; ask for its status"};
+          "the change to job " + Job + " may not have been stored; check the status of the job"};
 }
 
 Error handedOverError() { return {ErrorKind::NotOwner, "the shard is being handed over"}; }
@@ -145,13 +145,13 @@
     const auto Found = State.Jobs.find(Spec.Id);
     if (Found != State.Jobs.end()) {
       if (!sameJob(*Found->second.Spec, Spec))
-        co_return Error{ErrorKind::Conflict, "there is another job " + Spec.Id};
-      // The same job again: wait until the first one is surely stored.
+        co_return Error{ErrorKind::Conflict, "a different job already has the id " + Spec.Id};
+      // A repeated submit: wait until the records of the first one are stored.
       Tools.Log.append({}, callbackOf(Waiter));
     } else {
       if (!Tools.Log.storeUp())
         co_return Error{ErrorKind::StoreUnavailable,
-                        "the store does not answer, so the job can't be recorded"};
+                        "the store is unavailable, so the job cannot be recorded"};
       if (Draining || !mayModifyState())
         co_return handedOverError();
       if (Tools.Directory.capableShards(Spec).empty())
@@ -193,7 +193,7 @@
       co_return noSuchJobError(Job);
     if (!Tools.Log.storeUp())
       co_return Error{ErrorKind::StoreUnavailable,
-                      "the store does not answer, so the cancel can't be recorded"};
+                      "the store is unavailable, so the cancel cannot be recorded"};
     if (!mayModifyState())
       co_return handedOverError();
     execute(cancelJob(State, Job), callbackOf(Waiter));
@@ -259,7 +259,7 @@
   Root["why"] = Home.Ended == Home.Tasks.size() ? "all tasks have ended"
                 : Capable.empty()               ? Tools.Directory.explainImpossible(*Home.Spec)
                 : Home.Waiting > 0
-                    ? "tasks wait at the home shard for room on a capable shard"
+                    ? "tasks are waiting at the home shard for capacity on a capable shard"
                     : "all tasks are placed or queued on the shards named in 'tasks'";
   Root["tasks"] = taskList(Home);
   return json::serialize(Root);
@@ -270,8 +270,8 @@
   return countFilters(State, Spec, *Tools.Config());
 }
 
-// A lend from a home owner that was replaced meanwhile must not be taken: its successor may have
-// placed the tasks elsewhere. The store says who owns the home shard now.
+// Rejects a lend from an owner of the home shard that has been replaced: its successor may have
+// placed the tasks elsewhere. The current owner is read from the store.
 Awaitable<wire::LendReply> ShardRunner::onLend(wire::LendRequest Request) {
   wire::LendReply Reply;
   Result<StoreItem> Home = co_await Tools.Store.Get(ownerKey(Request.home()));
@@ -280,7 +280,7 @@
     const Result<OwnerRecord> Owner = decodeOwner(value(Home).Value);
     HomeEpoch = ok(Owner) ? value(Owner).Epoch : 0;
   } else {
-    // Without the store nobody can be replaced; what was last heard still holds.
+    // Owners cannot change while the store is unavailable, so the last known owner is current.
     const CellViewPtr View = Tools.Watch.view();
     const auto Known = View->Owners.find(Request.home());
     HomeEpoch = Known == View->Owners.end() ? 0 : Known->second.Epoch;
@@ -308,8 +308,8 @@
   {
     std::lock_guard Lock(Mutex);
     if (!mayModifyState())
-      co_return Reply; // told again, to the next owner
-    // The running shard forgets what is acknowledged, so only what the store holds is.
+      co_return Reply; // the sender reports again, to the next owner
+    // The sender drops tasks once they are acknowledged, so acknowledge only what is stored.
     execute(onReport(State, Request, Tools.Time.Now(), Tools.Time.Wall()), callbackOf(Waiter));
   }
   Reply.set_recorded(co_await waitFor(Waiter) == Durability::Stored);
@@ -324,7 +324,7 @@
   {
     std::lock_guard Lock(Mutex);
     if (!mayModifyState())
-      co_return Reply; // the home shard asks again
+      co_return Reply; // the home shard retries
     execute(onCancelTasks(State, Keys, Tools.Time.Wall()));
   }
   Reply.set_done(true);
@@ -344,8 +344,8 @@
   return Reply;
 }
 
-// Tries to get room for all tasks of a gang at once: holds on shard after shard, and lends only
-// if together they are enough. Holds lapse by themselves, so two gangs can't block each other.
+// Places all tasks of a gang at once: holds capacity on one shard after another, and lends the
+// tasks only if the holds cover all of them. Holds expire, so two gangs cannot deadlock.
 Awaitable<void> ShardRunner::placeGang(Self This, std::string Job) {
   SpecPtr Spec;
   {
