--- a/src/entry/interfaces.cpp
+++ b/src/entry/interfaces.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The HTTP interfaces for callers and operators, and the way of an operation to the owner of
-// its shard.
+// The HTTP interfaces for callers and operators, and the forwarding of operations to the owners
+// of their shards.
 #include "valveshelf/entry_process.h"
 #include "valveshelf/events.h"
 
@@ -31,7 +31,8 @@
   return Text;
 }
 
-// Gives a job without an id one of its own, so that sending it again is harmless.
+// Returns the job's id and text. Generates an id if the job has none, so that retries of the submit
+// are idempotent.
 Result<std::pair<std::string, std::string>> ensureJobId(const std::string &Body) {
   json::error_code Failure;
   json::value Root = json::parse(Body, Failure);
@@ -41,17 +42,17 @@
   if (!Object.if_contains("id"))
     Object["id"] = newJobId();
   if (!Object["id"].is_string() || Object["id"].as_string().empty())
-    return Error{ErrorKind::BadRequest, "field 'id' has the wrong type; accepted is a string"};
+    return Error{ErrorKind::BadRequest, "field 'id' must be a non-empty string"};
   const std::string Id(Object["id"].as_string());
   return std::pair(Id, json::serialize(Root));
 }
 
 Error notFound(std::string_view Target) {
-  return {ErrorKind::NotFound, "there is nothing at " + std::string(Target)};
+  return {ErrorKind::NotFound, "there is no resource at " + std::string(Target)};
 }
 
 Error notReady() {
-  return {ErrorKind::StoreUnavailable, "this process has not got the configuration yet"};
+  return {ErrorKind::StoreUnavailable, "this process has not loaded the configuration yet"};
 }
 } // namespace
 
@@ -128,7 +129,8 @@
   const std::shared_ptr<ShardRunner> Runner = runner(Shard);
   const auto Current = session();
   if (!Runner || !Current || !Current->mayAct())
-    co_return Error{ErrorKind::NotOwner, "shard " + std::to_string(Shard) + " is not owned here"};
+    co_return Error{ErrorKind::NotOwner,
+                    "shard " + std::to_string(Shard) + " is not owned by this process"};
   if (Operation == "submit")
     co_return co_await Runner->submit(std::move(Body));
   if (Operation == "status")
@@ -142,16 +144,16 @@
   if (Operation == "resize")
     co_return co_await Runner->resize(
         Target, static_cast<uint32_t>(std::strtoul(Body.c_str(), nullptr, 10)));
-  co_return Error{ErrorKind::BadRequest, "there is no operation " + Operation};
+  co_return Error{ErrorKind::BadRequest, "unknown operation " + Operation};
 }
 
-// Tries the owner, and its successor if it changes, until the deadline. All operations are
-// safe to repeat, since they name their job.
+// Retries at the owner, and at its successor if the owner changes, until the deadline. All
+// operations are idempotent, since they name their job.
 Awaitable<Result<std::string>> EntryProcess::runAtOwner(uint32_t Shard, std::string Operation,
                                                         std::string Target, std::string Body) {
   const TimePoint Deadline = Time.Now() + OperationDeadline;
   bool MayHaveRun = false;
-  Error Last{ErrorKind::NotOwner, "shard " + std::to_string(Shard) + " has no owner now"};
+  Error Last{ErrorKind::NotOwner, "shard " + std::to_string(Shard) + " has no owner"};
   while (Time.Now() < Deadline) {
     Result<std::string> Answer = Error{Last};
     const CellViewPtr View = Watch.view();
@@ -189,10 +191,10 @@
       break;
     co_await sleepFor(RetryPause);
   }
-  // Once it may have been recorded, no later refusal says that it was not.
+  // After an attempt that may have been recorded, a later refusal does not prove that it was not.
   if (MayHaveRun)
     co_return Error{ErrorKind::OutcomeUnknown,
-                    "the outcome for " + Target + " is not known: " + Last.Detail};
+                    "the outcome for " + Target + " is unknown: " + Last.Detail};
   co_return Last;
 }
 
@@ -254,8 +256,8 @@
   ConfigChange Change;
   Change.Partner = std::string(Path.substr(std::string_view("/v1/config/").size()));
   if (authenticatedPartner(Headers) != Change.Partner)
-    co_return errorResponse(
-        {ErrorKind::Forbidden, "the operator's token is not one of partner " + Change.Partner});
+    co_return errorResponse({ErrorKind::Forbidden,
+                             "the operator's token does not belong to partner " + Change.Partner});
   Change.Text = std::move(Body);
   Change.BaseVersion =
       std::strtoull(queryParameter(Target, "base").value_or("0").c_str(), nullptr, 10);
@@ -294,7 +296,7 @@
   return jsonResponse(200, json::serialize(json::object{{"members", std::move(Members)}}) + "\n");
 }
 
-// The figures are read when they are asked for, so a registry of their own serves each answer.
+// Values are collected at scrape time into a new registry for each response.
 HttpResponse EntryProcess::metrics() {
   prometheus::Registry Registry;
   const auto SetGauge = [&](const std::string &Name, const std::string &Help, double Value) {
