--- a/src/entry/session.cpp
+++ b/src/entry/session.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Wiring and life of one incarnation.
+// Construction and lifecycle of one incarnation of an entry process.
 #include "valveshelf/session.h"
 
 #include "valveshelf/events.h"
@@ -11,7 +11,8 @@
 namespace valveshelf {
 namespace {
 constexpr Milliseconds FenceCheckInterval{500};
-// Part of the write budget that stays free for leases, claims and configuration.
+// Fraction of the store write budget available to journals. The rest is reserved for leases, claims
+// and configuration.
 constexpr double JournalShare = 0.6;
 constexpr double BurstSeconds = 2.0;
 
@@ -70,7 +71,7 @@
   co_return Done{};
 }
 
-// The journals of all members together stay within their part of the store's writes.
+// Splits the journals' share of the store write budget evenly among the members.
 void Session::updateWriteRate() {
   const EntrySettings &Settings = Tools.Settings;
   const size_t Members = std::max<size_t>(1, Tools.Watch.view()->Members.size());
