--- a/src/entry/shard_runner_test.cpp
+++ b/src/entry/shard_runner_test.cpp
@@ -1,11 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// A shard that is handed over: nothing is confirmed that its next owner does not hear of.
-//
-// What happened: a process that stops wrote its shard down for the next owner and went on taking
-// reports for some 50 ms, until the owner's record was written. The end of a job's last task came
-// in that time. It was acknowledged, so that nobody told it again, and the job stayed active for
-// ever: "1 of 80 jobs accepted and active". Its log has task-ended and job-ended of the job 60 ms
-// after the next owner had claimed the shard.
+// Hand-over of a shard. Guards against acknowledging a report, cancel or resize after the state for
+// the next owner was captured: the change would be lost, and the job could stay active forever.
 #include "fakes/fake_store.h"
 #include "valveshelf/coroutines.h"
 #include "valveshelf/shard_runner.h"
@@ -54,7 +49,7 @@
             [] { return std::make_shared<const CellConfig>(); }};
   }
 
-  // Runs the operation to its end.
+  // Runs the operation to completion; throws if it takes longer than 2 s.
   template <class T> T wait(Awaitable<T> Operation) {
     std::optional<T> Answer;
     asio::co_spawn(Io, std::move(Operation),
