--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -118,9 +118,9 @@
             Settings,
             Store,
             Platform.Workers,
-            [this](std::string Lane, StepKey Step, std::vector<std::string> Workers,
+            [this](std::string ViaMember, StepKey Step, std::vector<std::string> Workers,
                    Milliseconds Timeout) {
-              return askAdvice(std::move(Lane), Step, std::move(Workers), Timeout);
+              return askAdvice(std::move(ViaMember), Step, std::move(Workers), Timeout);
             },
             Platform.WorkerPrefix,
             Platform.Operators.EvacuationPrefix,
@@ -219,16 +219,16 @@
     return Limits;
   }
 
-  // Requests advice from the service directly if \p Lane is this process, otherwise through that
-  // member.
-  Awaitable<Result<Advice>> askAdvice(std::string Lane, StepKey Step,
+  // Requests advice from the service directly if \p ViaMember is this process, otherwise through
+  // that member.
+  Awaitable<Result<Advice>> askAdvice(std::string ViaMember, StepKey Step,
                                       std::vector<std::string> Workers, Milliseconds Timeout) {
-    if (Lane == Settings.Member)
+    if (ViaMember == Settings.Member)
       co_return co_await Platform.Advice.Ask(Step, std::move(Workers), Timeout);
     const auto &Members = View.snapshot().Members;
-    const auto Found = Members.find(Lane);
+    const auto Found = Members.find(ViaMember);
     if (Found == Members.end())
-      co_return Error{ErrorKind::UpstreamUnavailable, Lane + " is not a known member"};
+      co_return Error{ErrorKind::UpstreamUnavailable, ViaMember + " is not a known member"};
     cell::AdviseRequest Request;
     Request.set_job(Step.Job);
     Request.set_round(Step.Round);
@@ -244,11 +244,11 @@
     const cell::AdviseReply &Received = value(Reply);
     if (Received.error() != 0)
       co_return Error{static_cast<ErrorKind>(Received.error()), Received.detail()};
-    Advice Read;
-    Read.Valid = Milliseconds(Received.valid_ms());
+    Advice Decoded;
+    Decoded.Valid = Milliseconds(Received.valid_ms());
     for (int I = 0; I < Received.good_size() && I < Received.ticket_size(); ++I)
-      Read.Eligible.emplace_back(Received.good(I), Received.ticket(I));
-    co_return Read;
+      Decoded.Eligible.emplace_back(Received.good(I), Received.ticket(I));
+    co_return Decoded;
   }
 
   Awaitable<cell::AdviseReply> handleAdvise(cell::AdviseRequest Request) {
--- a/src/cell/leadership.cpp
+++ b/src/cell/leadership.cpp
@@ -112,6 +112,8 @@
   return Others;
 }
 
+// Tells stronger members that the leader seems to be gone, so that they probe it themselves and can
+// claim first. Their answers are not needed.
 void Leadership::notifyStrongerMembers(const Leader &Failed) {
   size_t Notified = 0;
   for (const Member &Other : membersByPower()) {
@@ -247,7 +249,9 @@
     Result<Done> Kept = co_await Tools.Store.RenewLease(Own.Lease);
     if (!ok(Kept) && error(Kept).Kind == ErrorKind::NotFound)
       break;
-    // An outage that affects all processes is no reason to hand over when the store is back.
+    // After repeated direct failures, calls go through peers. If the renewal fails there too, the
+    // store is taken to be down for every process, and that time does not count towards
+    // IndirectHandOverDelay.
     if (!ok(Kept))
       LastDirectlyReachable = Tools.Time.Now();
     if (Current->loaded() && !RunnerEnded && co_await hasBetterCandidate(TermStart)) {
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -50,12 +50,14 @@
   Milliseconds GangTimeout{3000};         ///< How long gang members wait for each other.
   Milliseconds MaxEarlyStart{250};        ///< How early a round of a timed job may start.
   Milliseconds EndedJobRetention{150000}; ///< How long the state of an ended job is kept.
-  double ClockDrift = 0.02;               ///< Largest relative error of a worker's clock.
-  Milliseconds LeaseMargin{300};          ///< Added to every lease before it counts as expired.
-  Milliseconds QuarantineTime{4000};      ///< How long a worker gets no work after repeated
-                                          ///< failures or a stalled run.
-  Milliseconds TicketMargin{120};         ///< A ticket is not used this close to its expiry.
-  Milliseconds PlanTimeout{2500};         ///< An attempt planned this long ago is planned anew.
+  /// Largest rate error of a clock relative to true time. The rates of two clocks, the scheduler's
+  /// and a worker's, can differ by twice this.
+  double ClockDrift = 0.02;
+  Milliseconds LeaseMargin{300};     ///< Added to every lease before it counts as expired.
+  Milliseconds QuarantineTime{4000}; ///< How long a worker gets no work after repeated
+                                     ///< failures or a stalled run.
+  Milliseconds TicketMargin{120};    ///< A ticket is not used this close to its expiry.
+  Milliseconds PlanTimeout{2500};    ///< An attempt planned this long ago is planned anew.
   /// While capacity for urgent tasks is scarce: least and largest fraction of each worker that is
   /// reserved for them. Between the two, the typical size of an urgent task decides.
   double MinUrgentReserve = 0.10;
@@ -148,7 +150,9 @@
   Resources Booked;
   Resources Planned;
   Resources Preemptible; ///< Upper bound of what preemption can free here.
-  Resources Claimed; ///< Part of its free room that pending advice requests are expected to use.
+  /// Expected use by steps whose outstanding request for further workers names this one. Set aside
+  /// so that requests of other steps name other workers.
+  Resources Claimed;
   std::map<RunKey, Attempt> Attempts;
   uint64_t LastEndNumber = 0; ///< Highest number of a processed end.
   /// Numbers of ends, each with that of the save that it waits for.
@@ -246,9 +250,11 @@
   AdviceState Advice;
   TimePoint RunnableSince{};
   TimePoint PlannedAt{};
-  bool LastPlacementFailed = false; ///< It was not placed when it was last tried.
-  bool HasStartOrders = false;      ///< A start of one of its tasks has been ordered.
-  std::string WaitReason;           ///< Shown to operators; empty: it does not wait.
+  /// The last try left tasks without a worker or a planned gang unstarted or, before the first
+  /// advice answer, no request outstanding.
+  bool LastPlacementFailed = false;
+  bool HasStartOrders = false; ///< A start of one of its tasks has been ordered.
+  std::string WaitReason;      ///< Shown to operators; empty: it does not wait.
 };
 
 struct RoundState {
@@ -323,8 +329,9 @@
   std::set<uint32_t> SlotsWithUnsavedEnds; ///< Of workers with ends that wait for a save.
   WallTime Wall{};                         ///< Wall-clock time of the last tick.
   TimePoint WallAt{};                      ///< Steady time of the last tick.
-  bool WorkerShortage = false;    ///< A step that did not fit would fit a worker not in use yet.
-  Resources MeanUrgentNeed;       ///< Moving average of the needs of urgent tasks.
+  bool WorkerShortage = false; ///< A step that did not fit would fit a worker not in use yet.
+  /// Moving average of the cores and memory of urgent tasks that are placed singly, not as a gang.
+  Resources MeanUrgentNeed;
   uint32_t UrgentAttempts = 0;    ///< Attempts of urgent tasks, in every phase.
   size_t UrgentScanStart = 0;     ///< Slot of a worker that last had capacity for urgent tasks.
   uint32_t AdviceConcurrency = 0; ///< Advice requests that can be sent in parallel.
@@ -483,7 +490,7 @@
 /// \p AskedAt: when the report was requested; it does not show later changes.
 void workerReported(CellState &Cell, const std::string &Id, const WorkerReport &Report,
                     TimePoint AskedAt, TimePoint Now, Effects &Out);
-/// A call to the worker was not answered.
+/// An immediate heartbeat to the worker failed. Not called for a lost long poll.
 void workerSilent(CellState &Cell, const std::string &Id);
 /// True if the worker answers, holds no runs, and none of its ends waits for a save.
 bool isIdle(const Worker &On);
@@ -535,7 +542,8 @@
 void stopAttempt(CellState &Cell, Worker &W, const RunKey &Run, const char *Why, TimePoint Now,
                  Effects &Out);
 /// True if half of the step's estimate no longer fits before its job's objective. False for a
-/// long-running step, which has no end.
+/// long-running step, which has no end. Late steps are queued behind those that can still be in
+/// time, separately within and beyond their organisation's share.
 bool isLate(const Job &J, const StepState &Step, TimePoint Now);
 /// Puts the step into the placement queue if it is runnable and has open tasks, else removes it.
 void queueStep(CellState &Cell, Job &J, StepState &Step, TimePoint Now);
--- a/src/scheduler/advice.cpp
+++ b/src/scheduler/advice.cpp
@@ -45,8 +45,9 @@
 // sooner.
 constexpr size_t GangWorkersPerRequest = 50;
 
-// Workers that a request of the step names. A gang needs many at the same time; for single tasks a
-// few per task suffice, and a short request is answered sooner.
+// Number of workers to name for an urgent step or a ticket renewal, before they are split over
+// parallel requests. A gang needs many at the same time; for single tasks a few per task suffice,
+// and a short request is answered sooner.
 size_t workersPerRequest(const StepState &Step) {
   if (Step.Spec->Gang)
     return MaxWorkersPerRequest;
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -50,7 +50,8 @@
       continue;
     for (auto &[Number, Round] : Of.Rounds)
       for (StepState &Step : Round.Steps) {
-        // A gang that an earlier scheduler started only in part can't be completed.
+        // All workers of the service are known now. A gang of which only some members were found
+        // can't be completed, so these are stopped.
         const bool Partial =
             Step.Spec->Gang && Step.BookedTasks > 0 && Step.BookedTasks < Step.OpenTasks;
         for (uint32_t I = 0; Partial && I < Step.Tasks.size(); ++I)
@@ -228,6 +229,8 @@
   queueStep(Cell, Cell.Jobs.at(Step->Key.Job), *Step, Now);
 }
 
+// Repeats a start order that got no answer, with the same run number and the latest checkpoint. The
+// caller limits the repeats.
 void resendStart(CellState &Cell, Worker &On, const RunKey &Run, Attempt &Entry, Effects &Out) {
   StepState *Step = findStep(Cell, Run.Task.Step);
   const std::string &Checkpoint = Step->Tasks[Step->Spec->Gang ? 0 : Run.Task.Index].Checkpoint;
@@ -523,6 +526,7 @@
   }
 }
 
+// UnreportedWorkers holds only those that `workerMayHoldRuns` has added, not every listed worker.
 bool hasUnreportedWorkers(const CellState &Cell, const std::string &Service) {
   return std::any_of(Cell.UnreportedWorkers.begin(), Cell.UnreportedWorkers.end(),
                      [&](const auto &Entry) { return Entry.second == Service; });
