--- a/src/config/config_keeper.cpp
+++ b/src/config/config_keeper.cpp
@@ -112,8 +112,8 @@
   }
   if (!MayHaveWritten)
     co_return Last;
-  co_return Error{ErrorKind::OutcomeUnknown, "outcome of change " + Change.Id +
-                                                 " is unknown; query the change by its id"};
+  co_return Error{ErrorKind::OutcomeUnknown,
+                  "outcome of change " + Change.Id + " is unknown; query the change by its id"};
 }
 
 Awaitable<Result<uint64_t>> ConfigKeeper::resolve(std::string Partner, std::string Id) {
--- a/src/entry/entry_process.cpp
+++ b/src/entry/entry_process.cpp
@@ -35,19 +35,20 @@
 }
 } // namespace
 
-EntryProcess::EntryProcess(Executor Where, EntrySettings Settings, Clock Time, Platform PlatformAccess,
-                           HttpClient &Client)
-    : Where(Where), Settings(std::move(Settings)), Time(std::move(Time)), PlatformAccess(std::move(PlatformAccess)),
-      Client(Client), Peers(makeGrpcPeerOps(Where, PeerTimeout)),
-      Watch(this->PlatformAccess.Store, this->Time), Directory(this->Settings.Shards),
+EntryProcess::EntryProcess(Executor Where, EntrySettings Settings, Clock Time,
+                           Platform PlatformAccess, HttpClient &Client)
+    : Where(Where), Settings(std::move(Settings)), Time(std::move(Time)),
+      PlatformAccess(std::move(PlatformAccess)), Client(Client),
+      Peers(makeGrpcPeerOps(Where, PeerTimeout)), Watch(this->PlatformAccess.Store, this->Time),
+      Directory(this->Settings.Shards),
       Config(this->PlatformAccess.Store, this->Time, Peers, Watch),
       RequestRouter({Where, this->Time, Client, Directory, [this] { return Config.current(); },
-                [this] { return Watch.view(); },
-                [this] {
-                  const auto Current = session();
-                  return Current && Current->mayAct();
-                },
-                this->Settings.Member}),
+                     [this] { return Watch.view(); },
+                     [this] {
+                       const auto Current = session();
+                       return Current && Current->mayAct();
+                     },
+                     this->Settings.Member}),
       Callers(Where, this->Settings.Callers, limitsOf(this->Settings.Limits),
               [this](HttpExchange &Exchange) { return serveCaller(Exchange); }),
       Operators(Where, this->Settings.Operators, limitsOf(this->Settings.Limits),
@@ -110,9 +111,15 @@
     co_return OnFatal(answerFor(ErrorKind::BadSettings).ExitCode);
   }
   spawnLater(Where, Watch.run());
-  SessionTools Tools{Where,      Time,         Settings,
-                     PlatformAccess.Store, PlatformAccess.Workers, Peers,
-                     Watch,      Directory,    [this] { return Config.current(); }};
+  SessionTools Tools{Where,
+                     Time,
+                     Settings,
+                     PlatformAccess.Store,
+                     PlatformAccess.Workers,
+                     Peers,
+                     Watch,
+                     Directory,
+                     [this] { return Config.current(); }};
   while (!Stopping) {
     auto Next = std::make_shared<Session>(Tools, newLogId(Settings.Member, Time.Wall()));
     {
--- a/src/entry/shard_runner.cpp
+++ b/src/entry/shard_runner.cpp
@@ -31,7 +31,7 @@
   DurableCallback Also;
   std::mutex Mutex;
   bool StartsSent = false;       ///< Of repeatable tasks. Guarded by Mutex.
-  bool OtherEffectsSent = false;   ///< Guarded by Mutex.
+  bool OtherEffectsSent = false; ///< Guarded by Mutex.
 };
 
 ShardRunner::ShardRunner(uint32_t Shard, uint64_t Epoch, ShardTools Tools)
@@ -477,7 +477,8 @@
       continue;
     ++Usable;
     Free += Candidate.Free;
-    if (Candidate.Free.MilliCores >= Largest.MilliCores && Candidate.Free.MemoryMb >= Largest.MemoryMb)
+    if (Candidate.Free.MilliCores >= Largest.MilliCores &&
+        Candidate.Free.MemoryMb >= Largest.MemoryMb)
       Largest = Candidate.Free;
   }
   Summary.set_workers(Usable);
