--- a/src/base/endpoint.cpp
+++ b/src/base/endpoint.cpp
@@ -9,11 +9,11 @@
 namespace valveshelf {
 
 Result<Endpoint> parseEndpoint(std::string_view Text) {
-  const Error Wrong{ErrorKind::BadRequest,
-                    "'" + std::string(Text) + "' is not an address; accepted is IP:PORT"};
+  const Error ParseError{ErrorKind::BadRequest,
+                         "'" + std::string(Text) + "' is not an address; accepted is IP:PORT"};
   const auto Colon = Text.rfind(':');
   if (Colon == std::string_view::npos || Colon == 0)
-    return Wrong;
+    return ParseError;
   std::string_view Host = Text.substr(0, Colon);
   const std::string_view Port = Text.substr(Colon + 1);
   if (Host.front() == '[' && Host.back() == ']')
@@ -21,11 +21,11 @@
   boost::system::error_code Failure;
   boost::asio::ip::make_address(std::string(Host), Failure);
   if (Failure)
-    return Wrong;
+    return ParseError;
   Endpoint Parsed{std::string(Host), 0};
   const auto [End, Code] = std::from_chars(Port.data(), Port.data() + Port.size(), Parsed.Port);
   if (Code != std::errc() || End != Port.data() + Port.size() || Parsed.Port == 0)
-    return Wrong;
+    return ParseError;
   return Parsed;
 }
 
--- a/src/base/events.cpp
+++ b/src/base/events.cpp
@@ -193,15 +193,15 @@
 } // namespace
 
 namespace {
-std::atomic<uint64_t> LeftOut{0};
+std::atomic<uint64_t> DroppedLines{0};
 
 // Writes lines without ever waiting for the reader; a line that does not go out whole is lost.
-class UnblockedAppender final : public log4cplus::Appender {
+class NonBlockingAppender final : public log4cplus::Appender {
 public:
-  UnblockedAppender() {
+  NonBlockingAppender() {
     ::fcntl(STDOUT_FILENO, F_SETFL, ::fcntl(STDOUT_FILENO, F_GETFL) | O_NONBLOCK);
   }
-  ~UnblockedAppender() override { destructorImpl(); }
+  ~NonBlockingAppender() override { destructorImpl(); }
   void close() override { closed = true; }
 
 protected:
@@ -210,33 +210,33 @@
     layout->formatAndAppend(Line, Event);
     const std::string Text = Line.str();
     if (::write(STDOUT_FILENO, Text.data(), Text.size()) < 0)
-      ++LeftOut;
+      ++DroppedLines;
   }
 };
 
 // Lets so many lines of one kind through a second; the next line after a gap tells how many are
 // missing.
-class LineLimit {
+class LogRateLimiter {
 public:
   void setRate(int Lines) { PerSecond = Lines; }
 
-  // Returns false if the line is left out; else \p Missing is how many were since the last one.
-  bool take(int Number, uint64_t &Missing) {
+  // Returns false if the line is left out; else \p Dropped is how many were since the last one.
+  bool take(int Number, uint64_t &Dropped) {
     if (PerSecond == 0)
       return true;
     std::lock_guard Lock(Mutex);
-    Bucket &Of = Buckets[Number];
+    Bucket &EventBucket = Buckets[Number];
     const auto Now = std::chrono::steady_clock::now();
-    const double Passed = std::chrono::duration<double>(Now - Of.Last).count();
-    Of.Tokens = std::min(2.0 * PerSecond, Of.Tokens + Passed * PerSecond);
-    Of.Last = Now;
-    if (Of.Tokens < 1) {
-      ++Of.Missing;
-      ++LeftOut;
+    const double Passed = std::chrono::duration<double>(Now - EventBucket.Last).count();
+    EventBucket.Tokens = std::min(2.0 * PerSecond, EventBucket.Tokens + Passed * PerSecond);
+    EventBucket.Last = Now;
+    if (EventBucket.Tokens < 1) {
+      ++EventBucket.Dropped;
+      ++DroppedLines;
       return false;
     }
-    Of.Tokens -= 1;
-    Missing = std::exchange(Of.Missing, 0);
+    EventBucket.Tokens -= 1;
+    Dropped = std::exchange(EventBucket.Dropped, 0);
     return true;
   }
 
@@ -244,27 +244,27 @@
   struct Bucket {
     double Tokens = 0;
     std::chrono::steady_clock::time_point Last{};
-    uint64_t Missing = 0;
+    uint64_t Dropped = 0;
   };
   int PerSecond = 0;
   std::mutex Mutex;
   std::map<int, Bucket> Buckets; ///< By number of the event. Guarded by Mutex.
 };
 
-LineLimit &lineLimit() {
-  static LineLimit Limit;
+LogRateLimiter &logRateLimiter() {
+  static LogRateLimiter Limit;
   return Limit;
 }
 } // namespace
 
-uint64_t logLinesLeftOut() { return LeftOut; }
+uint64_t droppedLogLines() { return DroppedLines; }
 
 void openLog(const std::string &Level, const std::string &Member, LogLimits Limits) {
   static log4cplus::Initializer Initializer;
-  lineLimit().setRate(Limits.LinesPerSecond);
+  logRateLimiter().setRate(Limits.LinesPerSecond);
   log4cplus::SharedAppenderPtr Appender;
   if (Limits.ToStandardOutput)
-    Appender = new UnblockedAppender();
+    Appender = new NonBlockingAppender();
   else
     Appender = new log4cplus::ConsoleAppender(true, true);
   Appender->setLayout(std::make_unique<log4cplus::PatternLayout>("%D{%Y-%m-%dT%H:%M:%S.%q} %p " +
@@ -275,14 +275,14 @@
 
 void logEvent(const EventKind &Kind, std::initializer_list<EventField> Fields) {
   const log4cplus::LogLevel Level = levelOf(Kind.Level);
-  uint64_t Missing = 0;
-  if (!logger().isEnabledFor(Level) || !lineLimit().take(Kind.Number, Missing))
+  uint64_t Dropped = 0;
+  if (!logger().isEnabledFor(Level) || !logRateLimiter().take(Kind.Number, Dropped))
     return;
   std::string Line = "VS-" + std::to_string(Kind.Number) + " " + std::string(Kind.Name);
   for (const EventField &Field : Fields)
     Line.append(" ").append(Field.first).append("=").append(Field.second);
-  if (Missing > 0)
-    Line.append(" left_out=").append(std::to_string(Missing));
+  if (Dropped > 0)
+    Line.append(" left_out=").append(std::to_string(Dropped));
   logger().log(Level, Line);
 }
 
--- a/src/base/workload.cpp
+++ b/src/base/workload.cpp
@@ -20,7 +20,7 @@
   return Value;
 }
 
-bool takePoint(std::string_view &Rest) {
+bool takeDot(std::string_view &Rest) {
   if (Rest.empty() || Rest.front() != '.')
     return false;
   Rest.remove_prefix(1);
@@ -61,7 +61,7 @@
   std::string_view Rest = Text.substr(IdDigits);
   std::array<uint32_t, 3> Numbers{};
   for (uint32_t &Number : Numbers) {
-    if (!takePoint(Rest))
+    if (!takeDot(Rest))
       return std::nullopt;
     const auto Value = takeNumber(Rest);
     if (!Value)
--- a/src/cell/cell_process.cpp
+++ b/src/cell/cell_process.cpp
@@ -426,7 +426,7 @@
     const std::string Path(pathOf(Exchange.target()));
     HttpResponse Answer = errorResponse({ErrorKind::NotFound, "there is no page " + Path});
     if (Path == "/metrics") {
-      Metrics.set(metrics::LogLinesLeftOut, static_cast<double>(logLinesLeftOut()));
+      Metrics.set(metrics::LogLinesLeftOut, static_cast<double>(droppedLogLines()));
       Metrics.setTraffic(Meter.stats());
       Answer = {HttpOk, {{"Content-Type", "text/plain; version=0.0.4"}}, Metrics.text()};
     } else if (Path == "/v1/load") {
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -118,7 +118,7 @@
     if (Item.Key.starts_with(JobPrefix))
       applyIntakeItem(Item, false);
   for (const KeyValue &Item : Runs.Items) {
-    const auto Id = jobOfKey(Item.Key, ProgressPrefix);
+    const auto Id = jobIdFromKey(Item.Key, ProgressPrefix);
     const auto Found = Id ? Cell.Jobs.find(*Id) : Cell.Jobs.end();
     if (Found == Cell.Jobs.end())
       continue;
@@ -134,7 +134,7 @@
   Effects Out;
   finishLoading(Cell, Now, Out);
   for (const KeyValue &Item : Intake.Items)
-    if (const auto Id = jobOfKey(Item.Key, CancelPrefix))
+    if (const auto Id = jobIdFromKey(Item.Key, CancelPrefix))
       cancelJob(Cell, *Id, Now, Out);
   executeEffects(Out);
 }
@@ -145,7 +145,7 @@
   for (const KeyValue &Item : Runs.Items) {
     if (!Item.Key.starts_with(WorkerRecordPrefix))
       continue;
-    const std::string Id = lastPart(Item.Key, WorkerRecordPrefix);
+    const std::string Id = keySuffix(Item.Key, WorkerRecordPrefix);
     Result<WorkerInfo> Info = decodeWorkerRecord(Id, Item.Value);
     if (!ok(Info)) {
       logEvent(events::RecordUnreadable,
@@ -175,7 +175,7 @@
     co_return Done{};
   EvacuatedZones Zones{{}, value(Evacuated).Revision};
   for (const KeyValue &Item : value(Evacuated).Items)
-    Zones.Names.insert(lastPart(Item.Key, Deps.EvacuationPrefix));
+    Zones.Names.insert(keySuffix(Item.Key, Deps.EvacuationPrefix));
   setEvacuatedZones(std::move(Zones));
   loadWorkers(value(Listed), value(Runs));
   loadJobs(value(Intake), value(Runs));
@@ -202,14 +202,14 @@
 void SchedulerRunner::applyIntakeItem(const KeyValue &Item, bool Fresh) {
   const TimePoint Now = Deps.Time.Now();
   Effects Out;
-  if (const auto Cancelled = jobOfKey(Item.Key, CancelPrefix)) {
+  if (const auto Cancelled = jobIdFromKey(Item.Key, CancelPrefix)) {
     if (Cell.EndedJobs.count(*Cancelled))
       StaleCancels.insert(*Cancelled);
     cancelJob(Cell, *Cancelled, Now, Out);
     executeEffects(Out);
     return;
   }
-  const auto Id = jobOfKey(Item.Key, JobPrefix);
+  const auto Id = jobIdFromKey(Item.Key, JobPrefix);
   if (!Id)
     return;
   Result<StoredJob> Stored = decodeJob(Item.Value);
--- a/src/cell/scheduler_worker_list.cpp
+++ b/src/cell/scheduler_worker_list.cpp
@@ -20,7 +20,7 @@
 
 void SchedulerRunner::applyWorkerItem(const KeyValue &Item, bool IsRemoved) {
   const TimePoint Now = Deps.Time.Now();
-  const std::string Id = lastPart(Item.Key, Deps.WorkerPrefix);
+  const std::string Id = keySuffix(Item.Key, Deps.WorkerPrefix);
   if (IsRemoved) {
     workerUnlisted(Cell, Id, Now);
     return wakeHeartbeatLoop(Id); // what it holds is asked at once: it may be gone
@@ -51,7 +51,7 @@
     co_return Done{}; // changes that came meanwhile are newer
   std::set<std::string> Seen;
   for (const KeyValue &Item : value(Read).Items) {
-    Seen.insert(lastPart(Item.Key, Deps.WorkerPrefix));
+    Seen.insert(keySuffix(Item.Key, Deps.WorkerPrefix));
     applyWorkerItem(Item, false);
   }
   for (const auto &[Id, On] : Cell.Workers)
--- a/src/include/valveshelf/cell_records.h
+++ b/src/include/valveshelf/cell_records.h
@@ -31,14 +31,14 @@
 inline constexpr std::string_view WorkerRecordPrefix = "vs/run/worker/";
 
 /// What stands behind the prefix of a key.
-std::string lastPart(const std::string &Key, std::string_view Prefix);
+std::string keySuffix(const std::string &Key, std::string_view Prefix);
 std::string jobKey(JobId Id);
 std::string cancelKey(JobId Id);
 std::string progressKey(JobId Id);
 std::string workerKey(const std::string &Id);
 std::string memberKey(const std::string &Name);
 /// The job that a key under one of the prefixes belongs to.
-std::optional<JobId> jobOfKey(std::string_view Key, std::string_view Prefix);
+std::optional<JobId> jobIdFromKey(std::string_view Key, std::string_view Prefix);
 
 /// A job as the store has it: whole while it is live, only its end afterwards.
 struct StoredJob {
--- a/src/include/valveshelf/events.h
+++ b/src/include/valveshelf/events.h
@@ -51,7 +51,7 @@
 };
 
 /// Lines left out so far, by the limit or because they were not read.
-uint64_t logLinesLeftOut();
+uint64_t droppedLogLines();
 
 /// Sets up log4cplus to write to standard error. \p Level is "debug", "info", "warn" or
 /// "error"; \p Member is printed in each line. Call once, before any thread starts.
--- a/src/platform/store_client.cpp
+++ b/src/platform/store_client.cpp
@@ -18,12 +18,12 @@
 constexpr int HttpNotFound = 404;
 constexpr int HttpConflict = 409;
 
-struct StoreCalls {
+struct StoreContext {
   HttpClient &Client;
   Endpoint Address;
   Milliseconds Timeout;
 };
-using Calls = std::shared_ptr<const StoreCalls>;
+using ContextPtr = std::shared_ptr<const StoreContext>;
 
 uint64_t parseNumber(std::string_view Text) {
   uint64_t Value = 0;
@@ -32,13 +32,13 @@
 }
 
 // A read that failed has surely changed nothing; a write may have been made.
-Error failureOf(const Error &Cause, bool IsWrite) {
+Error storeError(const Error &Cause, bool IsWrite) {
   if (!IsWrite || Cause.Kind == ErrorKind::UpstreamUnavailable)
     return {ErrorKind::StoreUnavailable, "store: " + Cause.Detail};
   return {ErrorKind::OutcomeUnknown, "store: " + Cause.Detail};
 }
 
-Error statusFailure(int Status) {
+Error statusError(int Status) {
   if (Status == HttpConflict)
     return {ErrorKind::Conflict, "the key has another version"};
   if (Status == HttpNotFound)
@@ -47,7 +47,7 @@
   return {ErrorKind::StoreUnavailable, "store answered " + std::to_string(Status)};
 }
 
-Awaitable<Result<HttpResponse>> call(Calls To, std::string Method, std::string Target,
+Awaitable<Result<HttpResponse>> call(ContextPtr To, std::string Method, std::string Target,
                                      std::string Body, Milliseconds Extra) {
   const bool IsWrite = Method != "GET";
   CallOptions Options;
@@ -55,24 +55,24 @@
   HttpRequest Request{std::move(Method), std::move(Target), {}, std::move(Body)};
   Result<HttpResponse> Answer = co_await To->Client.send(To->Address, std::move(Request), Options);
   if (!ok(Answer))
-    co_return failureOf(error(Answer), IsWrite);
+    co_return storeError(error(Answer), IsWrite);
   co_return Answer;
 }
 
-Awaitable<Result<StoreItem>> get(Calls To, std::string Key) {
+Awaitable<Result<StoreItem>> get(ContextPtr To, std::string Key) {
   Result<HttpResponse> Answer = co_await call(To, "GET", "/v1/kv/" + Key, "", Milliseconds(0));
   if (!ok(Answer))
     co_return error(Answer);
-  HttpResponse &Got = value(Answer);
-  if (Got.Status == HttpNotFound)
+  HttpResponse &Response = value(Answer);
+  if (Response.Status == HttpNotFound)
     co_return StoreItem{Key, "", 0};
-  if (Got.Status != HttpOk)
-    co_return statusFailure(Got.Status);
-  const uint64_t Version = parseNumber(findHeader(Got.Headers, "X-Version"));
-  co_return StoreItem{Key, std::move(Got.Body), Version};
+  if (Response.Status != HttpOk)
+    co_return statusError(Response.Status);
+  const uint64_t Version = parseNumber(findHeader(Response.Headers, "X-Version"));
+  co_return StoreItem{Key, std::move(Response.Body), Version};
 }
 
-Awaitable<Result<uint64_t>> put(Calls To, std::string Key, std::string Value, uint64_t Expect,
+Awaitable<Result<uint64_t>> put(ContextPtr To, std::string Key, std::string Value, uint64_t Expect,
                                 uint64_t Lease) {
   const std::string Target =
       "/v1/kv/" + Key + "?expect=" + std::to_string(Expect) + "&lease=" + std::to_string(Lease);
@@ -80,71 +80,72 @@
   if (!ok(Answer))
     co_return error(Answer);
   if (value(Answer).Status != HttpOk)
-    co_return statusFailure(value(Answer).Status);
+    co_return statusError(value(Answer).Status);
   co_return parseNumber(findHeader(value(Answer).Headers, "X-Version"));
 }
 
-Awaitable<Result<Done>> plain(Calls To, std::string Method, std::string Target) {
+Awaitable<Result<Done>> requestExpectingOk(ContextPtr To, std::string Method, std::string Target) {
   Result<HttpResponse> Answer =
       co_await call(To, std::move(Method), std::move(Target), "", Milliseconds(0));
   if (!ok(Answer))
     co_return error(Answer);
   if (value(Answer).Status != HttpOk)
-    co_return statusFailure(value(Answer).Status);
+    co_return statusError(value(Answer).Status);
   co_return Done{};
 }
 
 Result<StoreItems> parseItems(const std::string &Body) {
   json::error_code Failure;
   const json::value Root = json::parse(Body, Failure);
-  const Error Wrong{ErrorKind::StoreUnavailable, "the store's answer can't be read"};
+  const Error ParseError{ErrorKind::StoreUnavailable, "the store's answer can't be read"};
   if (Failure || !Root.is_object())
-    return Wrong;
+    return ParseError;
   const json::value *Items = Root.as_object().if_contains("items");
   const json::value *Revision = Root.as_object().if_contains("revision");
   if (!Items || !Items->is_array() || !Revision || !Revision->is_number())
-    return Wrong;
-  StoreItems Read;
-  Read.Revision = Revision->to_number<uint64_t>();
+    return ParseError;
+  StoreItems Parsed;
+  Parsed.Revision = Revision->to_number<uint64_t>();
   for (const json::value &Item : Items->as_array()) {
     const json::object &Object = Item.as_object();
-    Read.Items.push_back({std::string(Object.at("key").as_string()),
-                          std::string(Object.at("value").as_string()),
-                          Object.at("version").to_number<uint64_t>()});
+    Parsed.Items.push_back({std::string(Object.at("key").as_string()),
+                            std::string(Object.at("value").as_string()),
+                            Object.at("version").to_number<uint64_t>()});
   }
-  return Read;
+  return Parsed;
 }
 
-Awaitable<Result<StoreItems>> items(Calls To, std::string Target, Milliseconds Wait) {
+Awaitable<Result<StoreItems>> items(ContextPtr To, std::string Target, Milliseconds Wait) {
   Result<HttpResponse> Answer = co_await call(To, "GET", std::move(Target), "", Wait);
   if (!ok(Answer))
     co_return error(Answer);
   if (value(Answer).Status != HttpOk)
-    co_return statusFailure(value(Answer).Status);
+    co_return statusError(value(Answer).Status);
   co_return parseItems(value(Answer).Body);
 }
 
-Awaitable<Result<uint64_t>> grant(Calls To, Milliseconds Life) {
+Awaitable<Result<uint64_t>> grant(ContextPtr To, Milliseconds Life) {
   const std::string Target = "/v1/lease?ttl_ms=" + std::to_string(Life.count());
   Result<HttpResponse> Answer = co_await call(To, "POST", Target, "", Milliseconds(0));
   if (!ok(Answer))
     co_return error(Answer);
   if (value(Answer).Status != HttpOk)
-    co_return statusFailure(value(Answer).Status);
+    co_return statusError(value(Answer).Status);
   co_return parseNumber(findHeader(value(Answer).Headers, "X-Lease"));
 }
 
 } // namespace
 
 StoreOps httpStore(HttpClient &Client, Endpoint Address, Milliseconds Timeout) {
-  const Calls To = std::make_shared<StoreCalls>(StoreCalls{Client, std::move(Address), Timeout});
+  const ContextPtr To =
+      std::make_shared<StoreContext>(StoreContext{Client, std::move(Address), Timeout});
   StoreOps Ops;
   Ops.Get = [To](std::string Key) { return get(To, std::move(Key)); };
   Ops.Put = [To](std::string Key, std::string Value, uint64_t Expect, uint64_t Lease) {
     return put(To, std::move(Key), std::move(Value), Expect, Lease);
   };
   Ops.Erase = [To](std::string Key, uint64_t Expect) {
-    return plain(To, "DELETE", "/v1/kv/" + Key + "?expect=" + std::to_string(Expect));
+    return requestExpectingOk(To, "DELETE", "/v1/kv/" + Key + "?expect=" + std::to_string(Expect));
   };
   Ops.List = [To](std::string Prefix) {
     return items(To, "/v1/list?prefix=" + Prefix, Milliseconds(0));
@@ -157,41 +158,42 @@
   };
   Ops.GrantLease = [To](Milliseconds Life) { return grant(To, Life); };
   Ops.RenewLease = [To](uint64_t Lease) {
-    return plain(To, "POST", "/v1/lease/" + std::to_string(Lease) + "/renew");
+    return requestExpectingOk(To, "POST", "/v1/lease/" + std::to_string(Lease) + "/renew");
   };
   Ops.RevokeLease = [To](uint64_t Lease) {
-    return plain(To, "DELETE", "/v1/lease/" + std::to_string(Lease));
+    return requestExpectingOk(To, "DELETE", "/v1/lease/" + std::to_string(Lease));
   };
   return Ops;
 }
 
 // The list last read and its tag. An unchanged list, by far the usual answer, costs no transfer.
-struct KnownBoxes {
+struct CachedBoxList {
   std::string Tag;
   BoxList List;
 };
 
 BoxListOps httpBoxList(HttpClient &Client, Endpoint Address, Milliseconds Timeout) {
-  const Calls To = std::make_shared<StoreCalls>(StoreCalls{Client, std::move(Address), Timeout});
-  auto Known = std::make_shared<KnownBoxes>();
-  return {[To, Known]() -> Awaitable<Result<BoxList>> {
+  const ContextPtr To =
+      std::make_shared<StoreContext>(StoreContext{Client, std::move(Address), Timeout});
+  auto Cached = std::make_shared<CachedBoxList>();
+  return {[To, Cached]() -> Awaitable<Result<BoxList>> {
     HttpRequest Request{"GET", "/v1/boxes", {}, ""};
-    if (!Known->Tag.empty())
-      Request.Headers.emplace_back("If-None-Match", Known->Tag);
+    if (!Cached->Tag.empty())
+      Request.Headers.emplace_back("If-None-Match", Cached->Tag);
     CallOptions Options;
     Options.Timeout = To->Timeout;
     Result<HttpResponse> Answer =
         co_await To->Client.send(To->Address, std::move(Request), Options);
     if (!ok(Answer))
-      co_return failureOf(error(Answer), false);
-    const HttpResponse &Got = value(Answer);
-    if (Got.Status == HttpNotModified)
-      co_return Known->List;
-    if (Got.Status != HttpOk)
-      co_return statusFailure(Got.Status);
-    Result<BoxList> Parsed = parseBoxList(Got.Body);
+      co_return storeError(error(Answer), false);
+    const HttpResponse &Response = value(Answer);
+    if (Response.Status == HttpNotModified)
+      co_return Cached->List;
+    if (Response.Status != HttpOk)
+      co_return statusError(Response.Status);
+    Result<BoxList> Parsed = parseBoxList(Response.Body);
     if (ok(Parsed))
-      *Known = {std::string(findHeader(Got.Headers, "ETag")), value(Parsed)};
+      *Cached = {std::string(findHeader(Response.Headers, "ETag")), value(Parsed)};
     co_return Parsed;
   }};
 }
--- a/src/platform/worker_client.cpp
+++ b/src/platform/worker_client.cpp
@@ -11,13 +11,13 @@
 
 constexpr int HttpOk = 200;
 
-struct WorkerCalls {
+struct WorkerContext {
   HttpClient &Client;
   Milliseconds Timeout;
 };
-using Calls = std::shared_ptr<const WorkerCalls>;
+using ContextPtr = std::shared_ptr<const WorkerContext>;
 
-json::array arrayOf(const std::vector<std::string> &Texts) {
+json::array toJsonArray(const std::vector<std::string> &Texts) {
   json::array Array;
   for (const std::string &Text : Texts)
     Array.emplace_back(Text);
@@ -39,7 +39,7 @@
                                       {"labels", std::move(LabelObject)}});
 }
 
-Resources resourcesIn(const json::object &Object, std::string_view Prefix) {
+Resources parseResources(const json::object &Object, std::string_view Prefix) {
   const auto Number = [&](std::string_view Key) -> int64_t {
     const std::string Name = std::string(Prefix) + std::string(Key);
     const json::value *Found = Object.if_contains(Name);
@@ -49,20 +49,20 @@
   return {Number("milli_cores"), Number("memory_mb"), Number("accelerators")};
 }
 
-TaskReport taskIn(const json::object &Object) {
+TaskReport parseTaskReport(const json::object &Object) {
   TaskReport Task;
   Task.Id = std::string(Object.at("id").as_string());
-  const json::string &What = Object.at("state").as_string();
-  Task.Status = What == "running"     ? TaskReport::State::Running
-                : What == "succeeded" ? TaskReport::State::Succeeded
-                : What == "failed"    ? TaskReport::State::Failed
-                                      : TaskReport::State::Stopped;
+  const json::string &StateName = Object.at("state").as_string();
+  Task.Status = StateName == "running"     ? TaskReport::State::Running
+                : StateName == "succeeded" ? TaskReport::State::Succeeded
+                : StateName == "failed"    ? TaskReport::State::Failed
+                                           : TaskReport::State::Stopped;
   if (const json::value *Detail = Object.if_contains("detail"); Detail && Detail->is_string())
     Task.Detail = std::string(Detail->as_string());
   if (const json::value *Ended = Object.if_contains("ended_ms"); Ended && Ended->is_number())
     Task.Ended = WallTime(Milliseconds(Ended->to_number<int64_t>()));
-  Task.Size = resourcesIn(Object, "");
-  Task.Usage = resourcesIn(Object, "used_");
+  Task.Size = parseResources(Object, "");
+  Task.Usage = parseResources(Object, "used_");
   return Task;
 }
 
@@ -74,7 +74,7 @@
     Report.Incarnation = std::string(Root.at("incarnation").as_string());
     Report.Version = Root.at("version").to_number<uint64_t>();
     for (const json::value &Item : Root.at("tasks").as_array())
-      Report.Tasks.push_back(taskIn(Item.as_object()));
+      Report.Tasks.push_back(parseTaskReport(Item.as_object()));
     return Report;
   } catch (const std::exception &E) {
     return Error{ErrorKind::UpstreamCut,
@@ -82,7 +82,7 @@
   }
 }
 
-Awaitable<StartAnswer> start(Calls To, Endpoint Address, std::string TaskId, SpecPtr Spec,
+Awaitable<StartAnswer> start(ContextPtr To, Endpoint Address, std::string TaskId, SpecPtr Spec,
                              Milliseconds Lease) {
   CallOptions Options;
   Options.Timeout = To->Timeout;
@@ -96,14 +96,14 @@
   co_return NotSent ? StartAnswer::NotSent : StartAnswer::Unanswered;
 }
 
-Awaitable<Result<WorkerReport>> sync(Calls To, Endpoint Address, WorkerSync Sync) {
+Awaitable<Result<WorkerReport>> sync(ContextPtr To, Endpoint Address, WorkerSync Sync) {
   CallOptions Options;
   Options.Timeout = To->Timeout + Sync.Wait;
   const json::object Body{{"wait_ms", Sync.Wait.count()},
                           {"after", Sync.After},
                           {"renew_ms", Sync.RenewFor.count()},
-                          {"renew", arrayOf(Sync.Renew)},
-                          {"forget", arrayOf(Sync.Forget)}};
+                          {"renew", toJsonArray(Sync.Renew)},
+                          {"forget", toJsonArray(Sync.Forget)}};
   HttpRequest Request{"POST", "/v1/sync", {}, json::serialize(Body)};
   Result<HttpResponse> Answer = co_await To->Client.send(Address, std::move(Request), Options);
   if (!ok(Answer))
@@ -114,10 +114,11 @@
   co_return parseReport(value(Answer).Body);
 }
 
-Awaitable<Result<Done>> act(Calls To, Endpoint Address, std::string What, std::string TaskId) {
+Awaitable<Result<Done>> postTaskCommand(ContextPtr To, Endpoint Address, std::string Command,
+                                        std::string TaskId) {
   CallOptions Options;
   Options.Timeout = To->Timeout;
-  HttpRequest Request{"POST", "/v1/" + What, {}, json::serialize(json::object{{"id", TaskId}})};
+  HttpRequest Request{"POST", "/v1/" + Command, {}, json::serialize(json::object{{"id", TaskId}})};
   Result<HttpResponse> Answer = co_await To->Client.send(Address, std::move(Request), Options);
   if (!ok(Answer))
     co_return error(Answer);
@@ -127,7 +128,7 @@
 } // namespace
 
 WorkerOps httpWorkers(HttpClient &Client, Milliseconds Timeout) {
-  const Calls To = std::make_shared<WorkerCalls>(WorkerCalls{Client, Timeout});
+  const ContextPtr To = std::make_shared<WorkerContext>(WorkerContext{Client, Timeout});
   WorkerOps Ops;
   Ops.Start = [To](Endpoint Address, std::string TaskId, SpecPtr Spec, Milliseconds Lease) {
     return start(To, std::move(Address), std::move(TaskId), std::move(Spec), Lease);
@@ -136,10 +137,10 @@
     return sync(To, std::move(Address), std::move(Sync));
   };
   Ops.Stop = [To](Endpoint Address, std::string TaskId) {
-    return act(To, std::move(Address), "stop", std::move(TaskId));
+    return postTaskCommand(To, std::move(Address), "stop", std::move(TaskId));
   };
   Ops.Throttle = [To](Endpoint Address, std::string TaskId) {
-    return act(To, std::move(Address), "throttle", std::move(TaskId));
+    return postTaskCommand(To, std::move(Address), "throttle", std::move(TaskId));
   };
   return Ops;
 }
--- a/src/records/cell_records.cpp
+++ b/src/records/cell_records.cpp
@@ -15,19 +15,19 @@
 
 Result<Endpoint> readEndpoint(const std::string &Text) { return parseEndpoint(Text); }
 
-void writeSize(const Resources &From, cell::SizeRecord &To) {
+void writeResources(const Resources &From, cell::SizeRecord &To) {
   To.set_milli_cores(From.MilliCores);
   To.set_memory_mb(From.MemoryMb);
   To.set_accelerators(From.Accelerators);
 }
 
-Resources readSize(const cell::SizeRecord &From) {
+Resources readResources(const cell::SizeRecord &From) {
   return {From.milli_cores(), From.memory_mb(), From.accelerators()};
 }
 
 void writeStep(const StepSpec &From, cell::StepRecord &To) {
   To.set_count(From.Count);
-  writeSize(From.Need, *To.mutable_need());
+  writeResources(From.Need, *To.mutable_need());
   To.set_estimate_ms(From.Estimate.count());
   for (const uint32_t Earlier : From.DependsOn)
     To.add_after(Earlier);
@@ -48,7 +48,7 @@
 StepSpec readStep(const cell::StepRecord &From) {
   StepSpec Step;
   Step.Count = From.count();
-  Step.Need = readSize(From.need());
+  Step.Need = readResources(From.need());
   Step.Estimate = Milliseconds(From.estimate_ms());
   Step.DependsOn.assign(From.after().begin(), From.after().end());
   Step.Checkpointable = From.checkpoints();
@@ -69,25 +69,25 @@
 cell::JobPhase phaseToRecord(JobPhase Phase) { return static_cast<cell::JobPhase>(Phase); }
 
 // Stands for a worker of which an earlier version did not keep the name: it is never heard.
-std::string unnamedWorker(size_t Number) { return "?" + std::to_string(Number); }
+std::string placeholderWorkerId(size_t Number) { return "?" + std::to_string(Number); }
 
 // Notes a task that has something to note.
-void writeNote(const StepState &Step, uint32_t Index, cell::StepProgress &To) {
+void writeTaskNote(const StepState &Step, uint32_t Index, cell::StepProgress &To) {
   const TaskState &Task = Step.Tasks[Index];
   const bool First = Index == 0;
   const std::set<uint32_t> &Failures =
       Step.Spec->Gang && First ? Step.GangFailures : Task.FailedRuns;
-  const bool KeepsCheckpoint = !Task.Done && !Task.Checkpoint.empty();
-  const bool WasLost = !Task.Done && (Task.StartupCrashes > 0 || Task.WeightedCrashes > 0);
-  if (Failures.empty() && !KeepsCheckpoint && !WasLost)
+  const bool HasCheckpoint = !Task.Done && !Task.Checkpoint.empty();
+  const bool HasCrashes = !Task.Done && (Task.StartupCrashes > 0 || Task.WeightedCrashes > 0);
+  if (Failures.empty() && !HasCheckpoint && !HasCrashes)
     return;
   cell::TaskNote &Note = *To.add_note();
   Note.set_index(Index);
   for (const uint32_t Run : Failures)
     Note.add_failed_run(Run);
-  if (KeepsCheckpoint)
+  if (HasCheckpoint)
     Note.set_checkpoint(Task.Checkpoint);
-  if (WasLost) {
+  if (HasCrashes) {
     Note.set_crashes(Task.StartupCrashes);
     Note.set_doubts(static_cast<uint32_t>(Task.SuspectWorkers.size()));
     for (const std::string &Worker : Task.SuspectWorkers)
@@ -108,7 +108,7 @@
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
     if (Step.Tasks[I].Done)
       Bits[I / 8] = static_cast<char>(static_cast<unsigned char>(Bits[I / 8]) | (1U << (I % 8)));
-    writeNote(Step, I, Record);
+    writeTaskNote(Step, I, Record);
   }
   if (Step.OpenTasks == Step.Tasks.size() && Record.note_size() == 0)
     return;
@@ -129,22 +129,22 @@
     Task.Crashes = Note.crashes();
     Task.Doubted.assign(Note.doubted().begin(), Note.doubted().end());
     while (Task.Doubted.size() < Note.doubts())
-      Task.Doubted.push_back(unnamedWorker(Task.Doubted.size()));
+      Task.Doubted.push_back(placeholderWorkerId(Task.Doubted.size()));
     Task.Vanished.assign(Note.vanished().begin(), Note.vanished().end());
     const bool IsUnnamed = Note.may_begin() && Note.trial_on().empty();
-    Task.TrialOn = IsUnnamed ? unnamedWorker(Task.Doubted.size()) : Note.trial_on();
+    Task.TrialOn = IsUnnamed ? placeholderWorkerId(Task.Doubted.size()) : Note.trial_on();
     Task.Losses = Note.losses();
   }
-  std::vector<SavedTask> Read;
+  std::vector<SavedTask> Decoded;
   for (auto &[Index, Task] : Tasks) {
     Task.Index = Index;
-    Read.push_back(std::move(Task));
+    Decoded.push_back(std::move(Task));
   }
-  return Read;
+  return Decoded;
 }
 } // namespace
 
-std::string lastPart(const std::string &Key, std::string_view Prefix) {
+std::string keySuffix(const std::string &Key, std::string_view Prefix) {
   return Key.substr(Prefix.size());
 }
 
@@ -154,7 +154,7 @@
 std::string workerKey(const std::string &Id) { return std::string(WorkerRecordPrefix) + Id; }
 std::string memberKey(const std::string &Name) { return std::string(MemberPrefix) + Name; }
 
-std::optional<JobId> jobOfKey(std::string_view Key, std::string_view Prefix) {
+std::optional<JobId> jobIdFromKey(std::string_view Key, std::string_view Prefix) {
   if (!Key.starts_with(Prefix))
     return std::nullopt;
   return parseJobId(Key.substr(Prefix.size()));
@@ -199,8 +199,8 @@
   cell::JobRecord Record;
   if (!Record.ParseFromString(Bytes))
     return unreadable("job");
-  StoredJob Read;
-  JobSpec &Spec = Read.Spec;
+  StoredJob Decoded;
+  JobSpec &Spec = Decoded.Spec;
   Spec.Id = Record.id();
   Spec.Queue = Record.queue();
   Spec.Service = Record.service();
@@ -209,10 +209,10 @@
   Spec.CriticalPathFactor = Record.extension();
   Spec.ObjectiveSlack = Milliseconds(Record.target_ms());
   if (Record.has_advice()) {
-    using Fine = std::chrono::duration<double, std::milli>;
-    Spec.Advice =
-        AdvicePolicy{Fine(Record.advice().decide_ms()), Fine(Record.advice().each_worker_ms()),
-                     Milliseconds(Record.advice().valid_ms())};
+    using FractionalMilliseconds = std::chrono::duration<double, std::milli>;
+    Spec.Advice = AdvicePolicy{FractionalMilliseconds(Record.advice().decide_ms()),
+                               FractionalMilliseconds(Record.advice().each_worker_ms()),
+                               Milliseconds(Record.advice().valid_ms())};
   }
   Spec.Payload = Record.payload();
   for (const cell::StepRecord &Step : Record.steps())
@@ -222,9 +222,9 @@
   Spec.Interval = Milliseconds(Record.interval_ms());
   Spec.AcceptedAt = wallTime(Record.accepted_ms());
   Spec.Organisation = Record.organisation();
-  Read.Phase = static_cast<JobPhase>(Record.phase());
-  Read.EndedAt = wallTime(Record.ended_ms());
-  return Read;
+  Decoded.Phase = static_cast<JobPhase>(Record.phase());
+  Decoded.EndedAt = wallTime(Record.ended_ms());
+  return Decoded;
 }
 
 std::string encodeProgress(const Job &Of) {
@@ -239,10 +239,10 @@
   cell::ProgressRecord Record;
   if (!Record.ParseFromString(Bytes))
     return unreadable("progress of job " + jobIdText(Id));
-  SavedSteps Read;
+  SavedSteps Decoded;
   for (const cell::StepProgress &Step : Record.steps())
-    Read.emplace_back(StepKey{Id, Step.round(), Step.step()}, readStepProgress(Step));
-  return Read;
+    Decoded.emplace_back(StepKey{Id, Step.round(), Step.step()}, readStepProgress(Step));
+  return Decoded;
 }
 
 namespace {
@@ -284,15 +284,15 @@
   cell::RosterRecord Record;
   if (!Record.ParseFromString(Bytes))
     return unreadable("roster");
-  Roster Read;
-  Read.Processes = Record.processes();
+  Roster Decoded;
+  Decoded.Processes = Record.processes();
   for (const cell::MemberRecord &One : Record.member()) {
     Result<Member> Member = memberFromRecord(One);
     if (!ok(Member))
       return error(Member);
-    Read.Members.push_back(std::move(value(Member)));
+    Decoded.Members.push_back(std::move(value(Member)));
   }
-  return Read;
+  return Decoded;
 }
 
 std::string encodeLeader(const Leader &Value) {
@@ -318,7 +318,7 @@
   Record.set_address(toString(Info.Address));
   Record.set_service(Info.Service);
   Record.set_machine(Info.Machine);
-  writeSize(Info.Capacity, *Record.mutable_capacity());
+  writeResources(Info.Capacity, *Record.mutable_capacity());
   return Record.SerializeAsString();
 }
 
@@ -334,7 +334,7 @@
   Info.Address = value(Address);
   Info.Service = Record.service();
   Info.Machine = Record.machine();
-  Info.Capacity = readSize(Record.capacity()); // zero in records of earlier versions
+  Info.Capacity = readResources(Record.capacity()); // zero in records of earlier versions
   return Info;
 }
 
--- a/src/records/explain.cpp
+++ b/src/records/explain.cpp
@@ -36,48 +36,48 @@
 // How many workers each condition leaves out, and how many have room.
 json::object explainWorkers(const CellState &Cell, const Job &Of, const StepState &Step,
                             TimePoint Now) {
-  int64_t OtherService = 0;
-  int64_t Silent = 0;
-  int64_t Leaving = 0;
+  int64_t ServesOtherService = 0;
+  int64_t Unresponsive = 0;
+  int64_t DrainingOrUnlisted = 0;
   int64_t Evacuated = 0;
-  int64_t SetAside = 0;
-  int64_t OnTrial = 0;
+  int64_t Quarantined = 0;
+  int64_t IsolatedStart = 0;
   int64_t AdvisedAgainst = 0;
-  int64_t NotAsked = 0;
-  int64_t NoRoom = 0;
-  int64_t Possible = 0;
+  int64_t AdviceNotRequested = 0;
+  int64_t WithoutCapacity = 0;
+  int64_t Eligible = 0;
   for (const auto &[Id, On] : Cell.Workers) {
     if (On.Info.Service != Of.Spec->Service)
-      ++OtherService;
+      ++ServesOtherService;
     else if (!On.HasReported || !On.IsResponsive)
-      ++Silent;
+      ++Unresponsive;
     else if (!On.Listed || On.Info.Draining)
-      ++Leaving;
+      ++DrainingOrUnlisted;
     else if (On.InEvacuatedZone)
       ++Evacuated;
     else if (On.QuarantinedUntil > Now)
-      ++SetAside;
+      ++Quarantined;
     else if (On.IsolatedStarts > 0)
-      ++OnTrial;
+      ++IsolatedStart;
     else if (Of.Spec->Advice && !hasAdviceOn(Step, On))
-      ++NotAsked;
+      ++AdviceNotRequested;
     else if (Of.Spec->Advice && !findPermit(Step, On))
       ++AdvisedAgainst;
     else if (!fits(Step.Spec->Need, On.Info.Capacity - On.Booked - On.Planned))
-      ++NoRoom;
+      ++WithoutCapacity;
     else
-      ++Possible;
+      ++Eligible;
   }
-  return {{"of_another_service", OtherService},
-          {"silent", Silent},
-          {"leaving", Leaving},
+  return {{"of_another_service", ServesOtherService},
+          {"silent", Unresponsive},
+          {"leaving", DrainingOrUnlisted},
           {"in_an_evacuated_zone", Evacuated},
-          {"set_aside", SetAside},
-          {"with_a_run_that_begins_apart", OnTrial},
-          {"advice_not_asked", NotAsked},
+          {"set_aside", Quarantined},
+          {"with_a_run_that_begins_apart", IsolatedStart},
+          {"advice_not_asked", AdviceNotRequested},
           {"advised_against", AdvisedAgainst},
-          {"without_room", NoRoom},
-          {"possible", Possible}};
+          {"without_room", WithoutCapacity},
+          {"possible", Eligible}};
 }
 } // namespace
 
