--- a/src/include/valveshelf/box.h
+++ b/src/include/valveshelf/box.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Boxes as the platform's list describes them.
+// The platform's list of boxes, and the assignment of racks and jobs to shards.
 #pragma once
 
 #include "valveshelf/endpoint.h"
@@ -13,7 +13,7 @@
 
 enum class BoxKind { Worker, Upstream, Entry };
 
-/// One box of the platform's list. The list lags.
+/// One box of the platform's list. The list may be out of date.
 struct BoxInfo {
   std::string Name;
   BoxKind Kind = BoxKind::Worker;
@@ -23,19 +23,20 @@
   std::string Service; ///< Upstreams only.
   Resources Capacity;  ///< Workers only.
   valveshelf::Labels Labels;
-  bool Leaving = false;
+  bool Leaving = false; ///< The platform is taking the box out of service.
 
   friend bool operator==(const BoxInfo &, const BoxInfo &) = default;
 };
 
 using BoxList = std::vector<BoxInfo>;
 
-/// Reads the platform's JSON list.
+/// Parses the platform's JSON list. Returns BadRequest if the list is malformed or a box
+/// has no name or no valid address.
 Result<BoxList> parseBoxList(std::string_view Json);
 
-/// The shard that the rack belongs to. The same on every box.
+/// The shard that the rack belongs to: a stable hash, the same on every box. \p Shards is not 0.
 uint32_t shardOfRack(const std::string &Rack, uint32_t Shards);
-/// The home shard of a job.
+/// The home shard of a job, by the same hash.
 uint32_t shardOfJob(const std::string &JobId, uint32_t Shards);
 
 } // namespace valveshelf
--- a/src/include/valveshelf/cell_records.h
+++ b/src/include/valveshelf/cell_records.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What the cell keeps in the platform's store: its keys, and its values to and from bytes.
+// Layout of the cell's records in the platform's store: keys, and encoding and decoding of values.
+// Used by the scheduler, the roster and the intake of jobs.
 #pragma once
 
 #include "valveshelf/cell_state.h"
@@ -11,36 +12,37 @@
 
 namespace valveshelf::sched {
 
-/// Everything of the cell lies under this prefix.
+/// Prefix of all keys of the cell.
 inline constexpr std::string_view CellPrefix = "vs/";
-/// Watched by every process: the scheduler of the moment and the roster.
+/// Watched by every process: the current scheduler and the roster.
 inline constexpr std::string_view ViewPrefix = "vs/cell/";
 inline constexpr std::string_view LeaderKey = "vs/cell/leader";
 inline constexpr std::string_view RosterKey = "vs/cell/roster";
-/// Watched by the scheduler: an entry for each process.
+/// Watched by the scheduler: one entry per process.
 inline constexpr std::string_view MemberPrefix = "vs/member/";
-/// The highest term any scheduler has had; never removed.
+/// The highest scheduler term so far. Never removed, so that terms are not reused.
 inline constexpr std::string_view TermKey = "vs/term";
-/// Watched by the scheduler: what callers handed in.
+/// Watched by the scheduler: jobs and cancellations submitted by callers.
 inline constexpr std::string_view IntakePrefix = "vs/in/";
 inline constexpr std::string_view JobPrefix = "vs/in/job/";
 inline constexpr std::string_view CancelPrefix = "vs/in/cancel/";
-/// Written and, at a takeover, read by the scheduler.
+/// Written by the scheduler; read by its successor at a takeover.
 inline constexpr std::string_view RunPrefix = "vs/run/";
 inline constexpr std::string_view ProgressPrefix = "vs/run/progress/";
 inline constexpr std::string_view WorkerRecordPrefix = "vs/run/worker/";
 
-/// What stands behind the prefix of a key.
+/// Returns \p Key without its first `Prefix.size()` characters.
 std::string keySuffix(const std::string &Key, std::string_view Prefix);
 std::string jobKey(JobId Id);
 std::string cancelKey(JobId Id);
 std::string progressKey(JobId Id);
 std::string workerKey(const std::string &Id);
 std::string memberKey(const std::string &Name);
-/// The job that a key under one of the prefixes belongs to.
+/// Parses the job id that follows \p Prefix; empty if \p Key has another prefix or no valid id.
 std::optional<JobId> jobIdFromKey(std::string_view Key, std::string_view Prefix);
 
-/// A job as the store has it: whole while it is live, only its end afterwards.
+/// A stored job. A live job has its full specification; an ended one only its id, queue,
+/// organisation, phase and end time.
 struct StoredJob {
   JobSpec Spec;
   JobPhase Phase = JobPhase::Live;
@@ -54,25 +56,26 @@
 std::string encodeProgress(const Job &Of);
 Result<SavedSteps> decodeProgress(JobId Id, const std::string &Bytes);
 
+/// A process of the cell.
 struct Member {
   std::string Name;
-  Endpoint Peers;
+  Endpoint Peers; ///< Listens for the other processes of the cell.
   std::string Zone;
-  double Power = 0; ///< Cores it may use; the strongest schedules.
+  double Power = 0; ///< Cores that it may use; members with more are preferred as scheduler.
   friend bool operator==(const Member &, const Member &) = default;
 };
 std::string encodeMember(const Member &Value);
 Result<Member> decodeMember(const std::string &Bytes);
 
-/// The members that all others know; the scheduler writes it.
+/// Members that every process of the cell can contact. Written by the scheduler.
 struct Roster {
   std::vector<Member> Members;
-  uint32_t Processes = 0; ///< In the cell, roughly; 0: nobody has counted yet.
+  uint32_t Processes = 0; ///< Approximate number in the cell; 0: not counted yet.
 };
 std::string encodeRoster(const Roster &Value);
 Result<Roster> decodeRoster(const std::string &Bytes);
 
-/// The process that schedules, and its term, which is its fence.
+/// The current scheduler. Its term is the fencing token that workers check.
 struct Leader {
   std::string Name;
   Endpoint Peers;
@@ -81,8 +84,9 @@
 std::string encodeLeader(const Leader &Value);
 Result<Leader> decodeLeader(const std::string &Bytes);
 
-/// What the scheduler knows of a job, as JSON for people: its steps, what they wait for and since
-/// when, what advice said, where its tasks are. Empty if there is no such live job.
+/// Describes a live job as JSON for operators: its steps, what they wait for and for how long,
+/// how many workers each placement condition excludes, and the state of each task. Empty if there
+/// is no such live job.
 std::string explainJob(const CellState &Cell, JobId Id, TimePoint Now);
 
 std::string encodeWorkerRecord(const WorkerInfo &Info);
--- a/src/include/valveshelf/clock.h
+++ b/src/include/valveshelf/clock.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The two clocks of valveshelf. Decisions take the time as an argument; only the processes
-// around them read a clock.
+// The monotonic clock and wall-clock time. Scheduling decisions take the time as an argument; only
+// the code that drives them reads a clock.
 #pragma once
 
 #include <chrono>
@@ -8,10 +8,9 @@
 
 namespace valveshelf {
 
-/// The clock of leases, promises and deadlines. It never goes back, and it counts the time for
-/// which the machine was suspended: to everybody else that time has passed, and leases have run out
-/// in it. The system's monotonic clock stands still meanwhile, so that a process that wakes up
-/// would go on under a claim that is over.
+/// Monotonic clock of leases, promises and deadlines. Unlike CLOCK_MONOTONIC it includes the time
+/// for which the machine was suspended: leases expire during a suspension, and a process that
+/// resumes must not act on one that has.
 struct Steady {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -22,7 +21,7 @@
 using TimePoint = Steady::time_point;
 using Milliseconds = std::chrono::milliseconds;
 
-/// Wall-clock time for records that people read. Never used for a decision about safety.
+/// Wall-clock time, for records that people read. May be set back: no safety decision may use it.
 using WallTime = std::chrono::sys_time<Milliseconds>;
 
 inline WallTime wallNow() {
--- a/src/include/valveshelf/coroutines.h
+++ b/src/include/valveshelf/coroutines.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Clocks as a dependency, and background coroutines.
+// Injectable clocks, and helpers to run background coroutines.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -9,16 +9,17 @@
 
 namespace valveshelf {
 
-/// The two clocks, injected wherever time is read.
+/// Time sources, injected so that tests can replace them.
 struct Clock {
   std::function<TimePoint()> Now = [] { return Steady::now(); };
   std::function<WallTime()> Wall = [] { return wallNow(); };
 };
 
-/// Runs \p Task on \p Where, never before this call returns, so that a lock held now is free.
+/// Posts \p Task to \p Where; it never starts inside this call, so the caller may hold a lock that
+/// the task takes. Aborts the process if the task ends by an exception.
 void spawnLater(Executor Where, Awaitable<void> Task);
 
-/// Waits for \p Time on the current executor.
+/// Suspends the calling coroutine for \p Time.
 Awaitable<void> sleepFor(Milliseconds Time);
 
 } // namespace valveshelf
--- a/src/include/valveshelf/endpoint.h
+++ b/src/include/valveshelf/endpoint.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// An address by IP number and port, as the platform gives them.
+// Network addresses: IP address and port, as the platform lists them.
 #pragma once
 
 #include "valveshelf/errors.h"
@@ -11,7 +11,7 @@
 
 namespace valveshelf {
 
-/// Where a process listens. The host is an IP number, never a name.
+/// Where a process listens. The host is an IP address, never a host name.
 struct Endpoint {
   std::string Host;
   uint16_t Port = 0;
@@ -25,7 +25,7 @@
 /// Parses "192.0.2.1:80" or "[2001:db8::1]:80". Returns BadRequest for anything else.
 Result<Endpoint> parseEndpoint(std::string_view Text);
 
-/// The form that `parseEndpoint` reads.
+/// Formats as `parseEndpoint` expects; IPv6 addresses are bracketed.
 std::string toString(const Endpoint &Value);
 
 } // namespace valveshelf
--- a/src/include/valveshelf/errors.h
+++ b/src/include/valveshelf/errors.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The closed list of error kinds, the table from kind to answer, and the result type that
-// every fallible function of valveshelf returns.
+// Error kinds, the answer (HTTP status, outcome, exit code) for each kind, and the result type of
+// fallible functions.
 #pragma once
 
 #include <chrono>
@@ -12,39 +12,39 @@
 
 namespace valveshelf {
 
-/// Every way in which an operation can fail. The list is closed: a new failure is either
-/// one of these or a reviewed addition to both this list and the table behind `answerFor`.
+/// Every way in which an operation can fail. The values index the table behind `answerFor`: a new
+/// kind needs a row there. The numbers are sent between processes, so append only.
 enum class ErrorKind {
   None = 0,
-  BadRequest,          ///< The caller's input can't be understood.
-  BadSettings,         ///< A settings file or a configuration is wrong.
-  NotFound,            ///< There is no such job, service or path.
-  Forbidden,           ///< Nobody may do this to another organisation's work.
-  Conflict,            ///< Somebody else's change won the race.
-  Impossible,          ///< No box of the cell could ever hold the task.
+  BadRequest,          ///< The caller's input is malformed.
+  BadSettings,         ///< A settings file or a configuration is invalid.
+  NotFound,            ///< No such job, service or path.
+  Forbidden,           ///< The job belongs to another organisation.
+  Conflict,            ///< A concurrent change was made first.
+  Impossible,          ///< No box of the cell has the capacity for the task.
   QuotaExceeded,       ///< The team or partner has no quota left.
   Overloaded,          ///< A queue is full or the deadline can't be met.
   StoreUnavailable,    ///< The platform's store does not answer; nothing was recorded.
-  NotOwner,            ///< This process does not own the shard (any more).
-  UpstreamUnavailable, ///< No upstream took the request; nothing was sent.
-  UpstreamCut,         ///< The upstream failed after a byte was sent.
-  DeadlineExceeded,    ///< The caller's deadline passed after the work was begun.
+  NotOwner,            ///< This process does not own the shard or is not the scheduler.
+  UpstreamUnavailable, ///< No upstream accepted the request; nothing was sent.
+  UpstreamCut,         ///< The upstream failed after part of the request was sent.
+  DeadlineExceeded,    ///< The caller's deadline passed after the work had started.
   OutcomeUnknown,      ///< The operation may or may not have taken effect.
-  Stopping,            ///< This process is in a planned stop.
-  Internal,            ///< A fault of valveshelf itself.
-  UnknownKey,          ///< The caller has no key, or one that is not in force.
+  Stopping,            ///< This process is shutting down.
+  Internal,            ///< A bug in valveshelf.
+  UnknownKey,          ///< The caller sent no key, or one that is not valid.
 };
 
-/// What a caller can rely on about work that ended in an error.
+/// Whether work that ended in an error was run.
 enum class Outcome { NotRun, Ran, Unknown };
 
-/// The answer that belongs to an error kind.
+/// How an error kind is reported to callers.
 struct ErrorAnswer {
   std::string_view Name; ///< Stable name for JSON answers and logs.
   int HttpStatus;
   valveshelf::Outcome Outcome;
-  std::chrono::seconds RetryAfter; ///< Zero when asking again is of no use.
-  int ExitCode;                    ///< Exit code of the command line.
+  std::chrono::seconds RetryAfter; ///< Zero if a retry is not advised.
+  int ExitCode;                    ///< Of the command-line tool.
 };
 
 /// Returns the row of the answer table for \p Kind. Safe from any thread.
@@ -53,24 +53,24 @@
 /// Returns the value of the `Valveshelf-Outcome` header: "not-run", "ran" or "unknown".
 std::string_view outcomeName(Outcome Value);
 
-/// A failure: its kind, and one sentence for the person who reads it.
+/// A failure: its kind, and a one-sentence description for people.
 struct Error {
   ErrorKind Kind = ErrorKind::Internal;
   std::string Detail;
 };
 
-/// A value, or the error that stood in its way.
+/// The value of an operation, or the error that prevented it.
 template <class T> using Result = std::variant<T, Error>;
 
-/// The value of operations that return nothing.
+/// The result of operations that have no value.
 struct Done {};
 
 /// True if \p Value holds no error.
 template <class T> bool ok(const Result<T> &Value) { return Value.index() == 0; }
-/// The value inside; the caller has checked `ok`.
+/// Returns the value. Throws std::bad_variant_access unless `ok`.
 template <class T> T &value(Result<T> &Value) { return std::get<0>(Value); }
 template <class T> const T &value(const Result<T> &Value) { return std::get<0>(Value); }
-/// The error inside; the caller has checked `!ok`.
+/// Returns the error. Throws std::bad_variant_access if `ok`.
 template <class T> const Error &error(const Result<T> &Value) { return std::get<1>(Value); }
 
 } // namespace valveshelf
--- a/src/include/valveshelf/events.h
+++ b/src/include/valveshelf/events.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Numbered log events. docs/EVENTS.md is checked against this table by a test.
+// Numbered log events and the functions that write them. docs/EVENTS.md lists the events; a test
+// compares it with the table in events.cpp.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +12,12 @@
 
 namespace valveshelf {
 
-/// One kind of log event. The number is stable and never used again.
+/// One kind of log event. The number is stable and never reused.
 struct EventKind {
   int Number;
   std::string_view Level; ///< "info", "warn" or "error".
   std::string_view Name;
-  std::string_view Meaning; ///< What happened and what an operator may do.
+  std::string_view Meaning; ///< What happened and what follows, as listed in docs/EVENTS.md.
 };
 
 namespace events {
@@ -37,23 +38,24 @@
 extern const EventKind WorkerSilent, WorkerLeaving, WorkerReplaced;
 } // namespace events
 
-/// All events in order of number, for the catalogue.
+/// All events, sorted by number.
 std::span<const EventKind *const> allEvents();
 
-/// A named value of a log line.
+/// Key and value of a log line.
 using EventField = std::pair<std::string_view, std::string>;
 
-/// How much of the log is kept back.
+/// Where the log goes, and when lines are dropped.
 struct LogLimits {
   bool ToStandardOutput =
-      false;              ///< Else standard error. Never blocks: what nobody reads is dropped.
-  int LinesPerSecond = 0; ///< Of one kind of event, and twice as many at once; 0: no limit.
+      false; ///< Else standard error. Never blocks: lines are dropped if a write fails.
+  int LinesPerSecond = 0; ///< Per kind of event, with bursts of twice as many; 0: no limit.
 };
 
-/// Lines left out so far, by the limit or because they were not read.
+/// Lines dropped so far, by the rate limit or because a write would have blocked. Safe from any
+/// thread.
 uint64_t droppedLogLines();
 
-/// Sets up log4cplus to write to standard error. \p Level is "debug", "info", "warn" or
+/// Sets up log4cplus as \p Limits says. \p Level is "debug", "info", "warn" or
 /// "error"; \p Member is printed in each line. Call once, before any thread starts.
 void openLog(const std::string &Level, const std::string &Member, LogLimits Limits = {});
 
--- a/src/include/valveshelf/steady_timer.h
+++ b/src/include/valveshelf/steady_timer.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Timers on the clock of leases and deadlines.
+// Timers on the monotonic clock of leases and deadlines.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -8,8 +8,8 @@
 
 namespace valveshelf {
 
-/// A timer on `Steady`. After a suspension of the machine it may be late by what was left of it;
-/// who acts on a lease compares times instead of counting on timers.
+/// A timer on `Steady`. After a suspension of the machine it may fire late, by up to the time that
+/// was left on it: code that depends on a lease must compare times, not rely on timers.
 using SteadyTimer = boost::asio::basic_waitable_timer<Steady>;
 
 } // namespace valveshelf
