--- a/src/base/events.cpp
+++ b/src/base/events.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The table of log events and their way to log4cplus.
+// The table of log events, and their output through log4cplus with a rate limit per kind.
 #include "valveshelf/events.h"
 
 #include <log4cplus/configurator.h>
@@ -22,138 +22,156 @@
 namespace valveshelf {
 namespace events {
 const EventKind Started{1001, "info", "started",
-                        "The process serves; address and incarnation follow."};
-const EventKind Stopping{1002, "info", "stopping", "A planned stop began; readiness is withdrawn."};
-const EventKind Stopped{1003, "info", "stopped",
-                        "The planned stop is complete; nothing was cut off."};
-const EventKind SettingsRefused{1004, "error", "settings-refused",
-                                "Settings are wrong; nothing was started."};
+                        "The process accepts requests; its address and incarnation follow."};
+const EventKind Stopping{1002, "info", "stopping",
+                         "A planned stop began; the process reports itself not ready."};
+const EventKind Stopped{
+    1003, "info", "stopped",
+    "The planned stop is complete; the requests still in progress are counted."};
+const EventKind SettingsRefused{
+    1004, "error", "settings-refused",
+    "The settings are invalid: a starting process exits, a running one is not affected."};
 const EventKind InternalFault{
     1005, "error", "internal-fault",
-    "A fault of valveshelf itself; the process aborts and its peers take over. Please report it."};
+    "A bug in valveshelf: the process aborts and its peers take over. Please report it."};
 const EventKind LeaseGranted{1101, "info", "lease-granted",
                              "The store granted this process its lease."};
 const EventKind LeaseLost{1102, "warn", "lease-lost",
-                          "The store lease lapsed; the process asks for a new one."};
+                          "The store lease expired; the process requests a new one."};
 const EventKind AuthorityLost{1103, "warn", "authority-lost",
-                              "Neither lease nor promises hold; no start is sent until one does."};
-const EventKind AuthorityByPromise{
-    1104, "warn", "authority-by-promise",
-    "The store lease can't be renewed; peers' promises carry ownership."};
+                              "The process holds neither a store lease nor peers' promises; it "
+                              "starts no task until it holds one."};
+const EventKind AuthorityByPromise{1104, "warn", "authority-by-promise",
+                                   "The store lease can't be renewed; the process keeps its shards "
+                                   "while its peers' promises are valid."};
 const EventKind Fenced{
     1105, "error", "fenced",
-    "Another process sealed this one's journal; it gives up all shards and joins anew."};
-const EventKind ShardClaimed{1201, "info", "shard-claimed",
-                             "This process owns the shard from now on."};
+    "Another process sealed this one's journal; it gives up all shards and joins the cell again."};
+const EventKind ShardClaimed{1201, "info", "shard-claimed", "This process now owns the shard."};
 const EventKind ShardReleased{1202, "info", "shard-released",
-                              "This process gave the shard to another."};
+                              "This process handed the shard over to another."};
 const EventKind ClaimLost{1203, "info", "claim-lost", "Another process claimed the shard first."};
 const EventKind JournalSealed{
     1204, "warn", "journal-sealed",
     "The journal of a lost process was sealed; its shards can be claimed."};
-const EventKind StepDownConfirmed{1205, "info", "step-down-confirmed",
-                                  "A predecessor surely sends nothing any more."};
+const EventKind StepDownConfirmed{
+    1205, "info", "step-down-confirmed",
+    "The previous owner of the shard is confirmed to send no more orders."};
 const EventKind StoreDown{1301, "warn", "store-down",
                           "The store does not answer; see docs/operators/store-outage.md."};
 const EventKind StoreUp{1302, "info", "store-up", "The store answers again."};
-const EventKind JobAccepted{1401, "info", "job-accepted", "The job is durable."};
+const EventKind JobAccepted{1401, "info", "job-accepted", "The job was written durably."};
 const EventKind JobRefused{1402, "info", "job-refused",
-                           "The job was refused and will not run; the reason follows."};
+                           "The job was rejected and will not run; the reason follows."};
 const EventKind JobEnded{1403, "info", "job-ended", "All tasks of the job have ended."};
 const EventKind JobCancelled{1404, "info", "job-cancelled", "The job was cancelled by its caller."};
 const EventKind TaskStarted{1501, "info", "task-started", "A worker confirmed the start."};
 const EventKind TaskEnded{1502, "info", "task-ended", "The task ended; its outcome follows."};
 const EventKind TaskUnknown{
     1503, "warn", "task-unknown",
-    "A task not to be repeated has no certain outcome; it is not started again."};
+    "The outcome of a task that must not be repeated is unknown; it is not started again."};
 const EventKind TaskRequeued{1504, "info", "task-requeued",
-                             "The task surely does not run and waits for a place again."};
-const EventKind TaskUncertain{
-    1505, "warn", "task-uncertain",
-    "A start has no certain answer; its room stays booked until there is proof."};
-const EventKind WorkerLost{
-    1601, "warn", "worker-lost",
-    "The worker does not answer; its tasks wait for proof or for their leases to lapse."};
+                             "The task is confirmed not to run and is queued again."};
+const EventKind TaskUncertain{1505, "warn", "task-uncertain",
+                              "A worker did not confirm or refuse a start; the capacity stays "
+                              "reserved until the outcome is known."};
+const EventKind WorkerLost{1601, "warn", "worker-lost",
+                           "The worker does not answer; its tasks are held until their state is "
+                           "known or their leases expire."};
 const EventKind WorkerBack{1602, "info", "worker-back", "The worker answers again."};
 const EventKind WorkerSuspected{
     1603, "warn", "worker-suspected",
-    "The worker fails what others run well; it is set aside and probed."};
+    "Several tasks in a row failed on the worker; it is quarantined and probed."};
 const EventKind WorkerCleared{1604, "info", "worker-cleared",
-                              "A probe ran well; the worker is used again."};
-const EventKind TaskContained{1605, "warn", "task-contained",
-                              "A task uses more than it declared and was throttled or stopped."};
+                              "A probe succeeded; the worker is used again."};
+const EventKind TaskContained{
+    1605, "warn", "task-contained",
+    "A task uses more resources than it requested and was throttled or stopped."};
 const EventKind ConfigInForce{1701, "info", "config-in-force",
-                              "A configuration version is in force here."};
+                              "This process applied a configuration version."};
 const EventKind ConfigRefused{1702, "warn", "config-refused",
-                              "A change of configuration was refused; the reason follows."};
-const EventKind ConfigFromPeer{1703, "info", "config-from-peer",
-                               "A peer, not the store, brought the newer configuration."};
-const EventKind EvacuationBegun{1704, "info", "evacuation-begun",
-                                "Operators want the availability zone empty: nothing is started in "
-                                "it from now on."};
+                              "A configuration change was rejected; the reason follows."};
+const EventKind ConfigFromPeer{
+    1703, "info", "config-from-peer",
+    "This process applied a newer configuration that came from a peer, not from the store."};
+const EventKind EvacuationBegun{
+    1704, "info", "evacuation-begun",
+    "Operators are evacuating the availability zone: no more tasks are started in it."};
 const EventKind EvacuationOver{1705, "info", "evacuation-over",
-                               "The availability zone is used again."};
+                               "The evacuation ended; the availability zone is used again."};
 const EventKind UpstreamFailed{1801, "warn", "upstream-failed",
-                               "An upstream did not answer a request as it should."};
+                               "An upstream did not answer a request, or not correctly."};
 const EventKind RequestRefused{1802, "info", "request-refused",
-                               "A request was refused; the kind follows."};
-const EventKind RequestRetried{1803, "info", "request-retried",
-                               "A request that surely did not run was tried elsewhere."};
+                               "A request was rejected; the error kind follows."};
+const EventKind RequestRetried{
+    1803, "info", "request-retried",
+    "A request that is known not to have run was retried on another upstream."};
 const EventKind SettingsRead{2001, "info", "settings-read",
-                             "The settings file was read again and is good."};
-const EventKind BecameReady{2002, "info", "became-ready", "The process takes new connections."};
+                             "The settings file was read again and is valid."};
+const EventKind BecameReady{2002, "info", "became-ready", "The process accepts new connections."};
 const EventKind BecameUnready{2003, "warn", "became-unready",
-                              "New connections should go to other processes; the reason follows."};
+                              "The process reports itself not ready: new connections should go to "
+                              "others; the reason follows."};
 const EventKind RecordUnreadable{2004, "error", "record-unreadable",
-                                 "A record of the store can't be read and is passed over."};
-const EventKind ClaimMade{2101, "info", "claim-made",
-                          "This process claimed the cell; its term is the fence for workers."};
-const EventKind TermBegun{2102, "info", "term-begun",
-                          "The scheduler has read the store and asks the workers what they hold."};
+                                 "A record in the store can't be decoded and is skipped."};
+const EventKind ClaimMade{
+    2101, "info", "claim-made",
+    "This process became the scheduler of the cell; its term is the fencing token for workers."};
+const EventKind TermBegun{
+    2102, "info", "term-begun",
+    "The scheduler has loaded its state from the store and asks the workers for their runs."};
 const EventKind TermEnded{2103, "warn", "term-ended",
-                          "The scheduler of this process ended; the reason follows."};
+                          "This process is no longer the scheduler; the reason follows."};
 const EventKind SchedulerGone{
     2104, "warn", "scheduler-gone",
-    "Nothing listens at the scheduler's address; it is replaced before its claim runs out."};
-const EventKind FleetBehind{2105, "warn", "fleet-behind",
-                            "The list of workers is known too late: nothing is started until it is "
-                            "known again."};
-const EventKind FleetKnown{2106, "info", "fleet-known", "The list of workers is known again."};
-const EventKind JobKept{2201, "info", "job-kept", "The job is durable; its caller was told so."};
-const EventKind CallRefused{2202, "info", "call-refused",
-                            "A caller's request was refused; the kind and the reason follow."};
-const EventKind JobTaken{
-    2203, "info", "job-taken",
-    "The scheduler knows the job: how it heard of it, its steps and objective."};
+    "A probe found the scheduler gone; it may be replaced before its lease expires."};
+const EventKind FleetBehind{
+    2105, "warn", "fleet-behind",
+    "The list of workers is out of date; no task is started until it is current again."};
+const EventKind FleetKnown{2106, "info", "fleet-known", "The list of workers is current again."};
+const EventKind JobKept{2201, "info", "job-kept",
+                        "The job was written durably; its caller was told so."};
+const EventKind CallRefused{
+    2202, "info", "call-refused",
+    "A caller's request was rejected; the error kind and the reason follow."};
+const EventKind JobTaken{2203, "info", "job-taken",
+                         "The scheduler added a job: its steps, its queue, and whether it is new "
+                         "or was loaded from the store."};
 const EventKind RunStopped{2301, "info", "run-stopped",
-                           "A run was ordered to stop; the reason follows."};
-const EventKind StartNotConfirmed{
-    2302, "info", "start-not-confirmed",
-    "A worker refused a start or did not answer; the result is numbered as in workload.h."};
+                           "A worker was ordered to stop a run; the reason follows."};
+const EventKind StartNotConfirmed{2302, "info", "start-not-confirmed",
+                                  "A worker refused a start or did not answer; the result is a "
+                                  "`StartResult` of workload.h by number."};
 const EventKind StepPlaced{
     2303, "info", "step-placed",
-    "Start orders for tasks of a step: how many, where, since when the step could run."};
-const EventKind AdviceGiven{2304, "info", "advice-given",
-                            "Advice for a step: through which box, how many workers it named good, "
-                            "after how long."};
-const EventKind TaskFailed{2305, "info", "task-failed",
-                           "A run failed; how often the task may still be tried."};
-const EventKind RunLost{2306, "warn", "run-lost",
-                        "A run ended with its worker: how that was found, how long it had been "
-                        "there, and how many workers in a row crashed as its task began "
-                        "(`crashes`) or while they held it (`losses`)."};
+    "Tasks of a step were placed: how many, on how many workers, how long the step waited."};
+const EventKind AdviceGiven{
+    2304, "info", "advice-given",
+    "Advice for a step arrived or failed: the box it was requested through, how many workers were "
+    "asked about, how many are eligible, how long it took."};
+const EventKind TaskFailed{
+    2305, "info", "task-failed",
+    "A run failed: how many runs of the task have failed, and how many may."};
+const EventKind RunLost{
+    2306, "warn", "run-lost",
+    "A run ended with its worker: the cause, how long it ran, and how many workers in a row "
+    "crashed as the task started (`crashes`) or while they held it (`losses`, where a worker that "
+    "ran "
+    "nothing else counts twice)."};
 const EventKind TaskGivenUp{2307, "warn", "task-given-up",
-                            "Workers crash under the task again and again; its job has failed."};
-const EventKind CrashCounted{2308, "info", "crash-counted",
-                             "How many workers in a row crashed as the task began has changed: the "
-                             "worker fell silent, has crashed or was heard again; or the task "
-                             "stands. `doubts` of them may only have been cut off."};
+                            "Too many workers in a row crashed with the task; its job has failed."};
+const EventKind CrashCounted{
+    2308, "info", "crash-counted",
+    "The number of workers in a row that crashed as the task started has changed: a worker stopped "
+    "answering, crashed, left the list or answered again, or the task survived its start. `doubts` "
+    "of them may only have been unreachable."};
 const EventKind WorkerSilent{2401, "warn", "worker-silent",
-                             "The worker does not answer; nothing new is placed there."};
+                             "The worker does not answer; no more tasks are placed on it."};
 const EventKind WorkerReplaced{2402, "info", "worker-replaced",
-                               "Another life answers at the worker's address; its runs are lost."};
+                               "Another incarnation of the worker answers at its address; the runs "
+                               "of the previous one are lost."};
 const EventKind WorkerLeaving{2403, "info", "worker-leaving",
-                              "The worker says that it leaves; it is given nothing new."};
+                              "The worker is draining; no more tasks are placed on it."};
 } // namespace events
 
 std::span<const EventKind *const> allEvents() {
@@ -195,7 +213,8 @@
 namespace {
 std::atomic<uint64_t> DroppedLines{0};
 
-// Writes lines without ever waiting for the reader; a line that does not go out whole is lost.
+// Writes lines to standard output without blocking. If the pipe is full, lines are dropped or
+// truncated.
 class NonBlockingAppender final : public log4cplus::Appender {
 public:
   NonBlockingAppender() {
@@ -214,13 +233,13 @@
   }
 };
 
-// Lets so many lines of one kind through a second; the next line after a gap tells how many are
-// missing.
+// Token bucket per kind of event. The first line written after a gap reports how many were dropped.
 class LogRateLimiter {
 public:
   void setRate(int Lines) { PerSecond = Lines; }
 
-  // Returns false if the line is left out; else \p Dropped is how many were since the last one.
+  // Returns false if the line is to be dropped; else sets \p Dropped to the number of lines dropped
+  // since the last one of this kind. Safe from any thread.
   bool take(int Number, uint64_t &Dropped) {
     if (PerSecond == 0)
       return true;
@@ -248,7 +267,7 @@
   };
   int PerSecond = 0;
   std::mutex Mutex;
-  std::map<int, Bucket> Buckets; ///< By number of the event. Guarded by Mutex.
+  std::map<int, Bucket> Buckets; ///< By event number. Guarded by Mutex.
 };
 
 LogRateLimiter &logRateLimiter() {
--- a/src/base/events_test.cpp
+++ b/src/base/events_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// docs/EVENTS.md is the table of events, line by line. VALVESHELF_UPDATE=1 writes it anew.
+// Guards against reused event numbers and a docs/EVENTS.md that differs from the table of events.
+// VALVESHELF_UPDATE=1 regenerates the page.
 #include "valveshelf/events.h"
 
 #include <gtest/gtest.h>
