--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The clock of leases on Linux.
+// The monotonic clock of leases and deadlines, on Linux.
 #include "valveshelf/clock.h"
 
 #include <ctime>
@@ -8,7 +8,7 @@
 
 Steady::time_point Steady::now() noexcept {
   timespec Read{};
-  clock_gettime(CLOCK_BOOTTIME, &Read); // it can't fail for a clock that the kernel has
+  clock_gettime(CLOCK_BOOTTIME, &Read); // can't fail: the kernel supports this clock
   return time_point(std::chrono::seconds(Read.tv_sec) + std::chrono::nanoseconds(Read.tv_nsec));
 }
 
--- a/src/base/coroutines.cpp
+++ b/src/base/coroutines.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Background coroutines that end the process when one of them fails.
+// Background coroutines. An exception that escapes one of them aborts the process.
 #include "valveshelf/coroutines.h"
 #include "valveshelf/steady_timer.h"
 
@@ -11,8 +11,8 @@
 
 namespace valveshelf {
 
-// A loop that ended by an exception would leave a process that looks alive and does half its
-// work. Its peers take over from one that is dead.
+// A process whose loop ended by an exception would still look alive while doing only part of its
+// work. Aborting lets its peers take over.
 [[noreturn]] static void failFast(std::exception_ptr Fault) {
   try {
     std::rethrow_exception(Fault);
--- a/src/base/endpoint.cpp
+++ b/src/base/endpoint.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Parsing and printing of addresses.
+// Parsing and formatting of addresses.
 #include "valveshelf/endpoint.h"
 
 #include <boost/asio/ip/address.hpp>
--- a/src/base/errors.cpp
+++ b/src/base/errors.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The table from error kind to answer.
+// The table that maps each error kind to its answer: name, HTTP status, outcome, retry time, exit
+// code.
 #include "valveshelf/errors.h"
 
 #include <array>
@@ -8,7 +9,7 @@
 namespace {
 using std::chrono::seconds;
 
-// One row a kind, in the order of the enumeration.
+// One row per kind, in the order of ErrorKind.
 constexpr std::array<ErrorAnswer, 18> Answers{{
     {"none", 200, Outcome::Ran, seconds(0), 0},
     {"bad-request", 400, Outcome::NotRun, seconds(0), 2},
--- a/src/base/workload.cpp
+++ b/src/base/workload.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Names of jobs, steps and tasks, and the choice of a queue.
+// Text forms of job, step and task ids, and lookups in the cell's configuration. The ids appear in
+// logs, store keys and answers to callers.
 #include "valveshelf/workload.h"
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 namespace {
 constexpr size_t IdDigits = 16;
 
-// Takes the decimal number up to the next point off the front of \p Rest.
+// Removes a leading decimal number from \p Rest and returns it; empty if there is none.
 std::optional<uint32_t> takeNumber(std::string_view &Rest) {
   uint32_t Value = 0;
   const auto [End, Code] = std::from_chars(Rest.data(), Rest.data() + Rest.size(), Value);
