--- a/src/platform/box_list.cpp
+++ b/src/platform/box_list.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The platform's list of boxes, and the hashing that shares racks and jobs out over shards.
+// Parsing of the platform's list of boxes, and the hashing that assigns racks and jobs to shards.
 #include "valveshelf/box.h"
 
 #include <boost/json.hpp>
@@ -28,7 +28,7 @@
                                   : BoxKind::Entry;
   const Result<Endpoint> Address = parseEndpoint(textOf(Object, "address"));
   if (!ok(Address) || Box.Name.empty())
-    return Error{ErrorKind::BadRequest, "box '" + Box.Name + "' has no name or no address"};
+    return Error{ErrorKind::BadRequest, "box '" + Box.Name + "' has no name or no valid address"};
   Box.Address = value(Address);
   Box.Zone = textOf(Object, "zone");
   Box.Rack = textOf(Object, "rack");
@@ -52,7 +52,7 @@
   const json::value *Boxes =
       !Failure && Root.is_object() ? Root.as_object().if_contains("boxes") : nullptr;
   if (!Boxes || !Boxes->is_array())
-    return Error{ErrorKind::BadRequest, "the box list can't be read"};
+    return Error{ErrorKind::BadRequest, "the box list is not a JSON object with an array 'boxes'"};
   BoxList Read;
   for (const json::value &Item : Boxes->as_array()) {
     if (!Item.is_object())
--- a/src/platform/store_client.cpp
+++ b/src/platform/store_client.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The platform's key-value service over HTTP.
+// HTTP client of the platform's key-value store and of its list of boxes.
 #include "valveshelf/platform.h"
 
 #include "valveshelf/events.h"
@@ -31,7 +31,7 @@
   return Value;
 }
 
-// A read that failed has surely changed nothing; a write may have been made.
+// A failed read changed nothing. A failed write may have been applied unless it was not sent.
 Error storeError(const Error &Cause, bool IsWrite) {
   if (!IsWrite || Cause.Kind == ErrorKind::UpstreamUnavailable)
     return {ErrorKind::StoreUnavailable, "store: " + Cause.Detail};
@@ -40,11 +40,12 @@
 
 Error statusError(int Status) {
   if (Status == HttpConflict)
-    return {ErrorKind::Conflict, "the key has another version"};
+    return {ErrorKind::Conflict, "the key's version is not the expected one"};
   if (Status == HttpNotFound)
     return {ErrorKind::NotFound, "there is no such lease"};
-  // Anything else is an explicit refusal: rate limit, outage, value too large.
-  return {ErrorKind::StoreUnavailable, "store answered " + std::to_string(Status)};
+  // Any other status is an explicit refusal, such as rate limit, outage or value too large.
+  return {ErrorKind::StoreUnavailable,
+          "the store answered with HTTP status " + std::to_string(Status)};
 }
 
 Awaitable<Result<HttpResponse>> call(ContextPtr To, std::string Method, std::string Target,
@@ -97,7 +98,8 @@
 Result<StoreItems> parseItems(const std::string &Body) {
   json::error_code Failure;
   const json::value Root = json::parse(Body, Failure);
-  const Error ParseError{ErrorKind::StoreUnavailable, "the store's answer can't be read"};
+  const Error ParseError{ErrorKind::StoreUnavailable,
+                         "the store's answer has no valid 'items' and 'revision'"};
   if (Failure || !Root.is_object())
     return ParseError;
   const json::value *Items = Root.as_object().if_contains("items");
@@ -166,7 +168,7 @@
   return Ops;
 }
 
-// The list last read and its tag. An unchanged list, by far the usual answer, costs no transfer.
+// The last list and its ETag, so that an unchanged list is not transferred again.
 struct CachedBoxList {
   std::string Tag;
   BoxList List;
--- a/src/platform/worker_client.cpp
+++ b/src/platform/worker_client.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Workers over HTTP.
+// HTTP client of the workers: starts, stops and throttles tasks, and reads their reports.
 #include "valveshelf/platform.h"
 
 #include <boost/asio.hpp>
@@ -78,7 +78,7 @@
     return Report;
   } catch (const std::exception &E) {
     return Error{ErrorKind::UpstreamCut,
-                 std::string("the worker's list can't be read: ") + E.what()};
+                 std::string("can't parse the worker's report: ") + E.what()};
   }
 }
 
@@ -86,7 +86,8 @@
                              Milliseconds Lease) {
   CallOptions Options;
   Options.Timeout = To->Timeout;
-  // A kept connection may die after the bytes were sent; a fresh one leaves less doubt.
+  // A reused connection may turn out closed after the request was sent, which leaves the outcome
+  // unknown; that is less likely on a new one.
   Options.FreshConnection = true;
   HttpRequest Request{"POST", "/v1/tasks", {}, startBody(TaskId, *Spec, Lease)};
   Result<HttpResponse> Answer = co_await To->Client.send(Address, std::move(Request), Options);
@@ -110,7 +111,7 @@
     co_return error(Answer);
   if (value(Answer).Status != HttpOk)
     co_return Error{ErrorKind::UpstreamCut,
-                    "the worker answered " + std::to_string(value(Answer).Status)};
+                    "the worker answered with HTTP status " + std::to_string(value(Answer).Status)};
   co_return parseReport(value(Answer).Body);
 }
 
--- a/src/records/cell_records.cpp
+++ b/src/records/cell_records.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The cell's records in the store, in protobuf.
+// Encoding and decoding of the cell's records in the store, as protobuf messages (cell.proto).
 #include "valveshelf/cell_records.h"
 
 #include "cell.pb.h"
@@ -8,7 +8,7 @@
 namespace {
 
 Error unreadable(const std::string &What) {
-  return {ErrorKind::Internal, "a record of the store can't be read: " + What};
+  return {ErrorKind::Internal, "can't decode a record of the store: " + What};
 }
 
 WallTime wallTime(int64_t Millis) { return WallTime(Milliseconds(Millis)); }
@@ -68,10 +68,10 @@
 
 cell::JobPhase phaseToRecord(JobPhase Phase) { return static_cast<cell::JobPhase>(Phase); }
 
-// Stands for a worker of which an earlier version did not keep the name: it is never heard.
+// Stands for a worker whose id an earlier version did not save. No real worker has this id.
 std::string placeholderWorkerId(size_t Number) { return "?" + std::to_string(Number); }
 
-// Notes a task that has something to note.
+// Adds a note for the task if it has failed runs, a checkpoint or crashes to save.
 void writeTaskNote(const StepState &Step, uint32_t Index, cell::StepProgress &To) {
   const TaskState &Task = Step.Tasks[Index];
   const bool First = Index == 0;
@@ -334,7 +334,7 @@
   Info.Address = value(Address);
   Info.Service = Record.service();
   Info.Machine = Record.machine();
-  Info.Capacity = readResources(Record.capacity()); // zero in records of earlier versions
+  Info.Capacity = readResources(Record.capacity()); // zero in records written by earlier versions
   return Info;
 }
 
--- a/src/records/explain.cpp
+++ b/src/records/explain.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// A job explained to people.
+// Describes a live job as JSON, to show operators why its tasks wait.
 #include "valveshelf/cell_records.h"
 
 #include <boost/json.hpp>
@@ -33,7 +33,7 @@
   return Text;
 }
 
-// How many workers each condition leaves out, and how many have room.
+// Counts the workers by the first condition that excludes them, and those that are eligible.
 json::object explainWorkers(const CellState &Cell, const Job &Of, const StepState &Step,
                             TimePoint Now) {
   int64_t ServesOtherService = 0;
