--- a/src/base/workload.cpp
+++ b/src/base/workload.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Names of jobs, steps and tasks, and the choice of a queue.
+// Text forms of job, step and task ids, and lookups in the cell's configuration. The ids appear in
+// logs, store keys and answers to callers.
 #include "valveshelf/workload.h"
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 namespace {
 constexpr size_t IdDigits = 16;
 
-// Takes the decimal number up to the next point off the front of \p Rest.
+// Removes a leading decimal number from \p Rest and returns it; empty if there is none.
 std::optional<uint32_t> takeNumber(std::string_view &Rest) {
   uint32_t Value = 0;
   const auto [End, Code] = std::from_chars(Rest.data(), Rest.data() + Rest.size(), Value);
@@ -20,7 +21,7 @@
   return Value;
 }
 
-bool takePoint(std::string_view &Rest) {
+bool takeDot(std::string_view &Rest) {
   if (Rest.empty() || Rest.front() != '.')
     return false;
   Rest.remove_prefix(1);
@@ -61,7 +62,7 @@
   std::string_view Rest = Text.substr(IdDigits);
   std::array<uint32_t, 3> Numbers{};
   for (uint32_t &Number : Numbers) {
-    if (!takePoint(Rest))
+    if (!takeDot(Rest))
       return std::nullopt;
     const auto Value = takeNumber(Rest);
     if (!Value)
