--- a/src/losses/losses.cpp
+++ b/src/losses/losses.cpp
@@ -12,12 +12,12 @@
 namespace {
 // The first digits of a task's or step's name are its job's.
 constexpr size_t IdDigits = 16;
-constexpr std::string_view EventMark = " VS-";
+constexpr std::string_view EventPrefix = " VS-";
 // Phases as the end of a job names them.
 constexpr std::string_view FailedPhase = "2";
 constexpr std::string_view CancelledPhase = "3";
 
-int numberIn(std::string_view Text, size_t At, size_t Length) {
+int parseNumber(std::string_view Text, size_t At, size_t Length) {
   int Value = 0;
   if (At + Length <= Text.size())
     std::from_chars(Text.data() + At, Text.data() + At + Length, Value);
@@ -25,21 +25,21 @@
 }
 
 // 2026-09-28T10:55:48.226, which may stand behind other words.
-std::optional<WallTime> timeOf(std::string_view Head) {
+std::optional<WallTime> parseTime(std::string_view Head) {
   constexpr size_t Length = 23;
   const size_t Mark = Head.find('T');
   if (Mark == std::string_view::npos || Mark < 10 || Head.size() < Mark - 10 + Length)
     return std::nullopt;
   const std::string_view Text = Head.substr(Mark - 10, Length);
   using namespace std::chrono;
-  const year_month_day Day{year(numberIn(Text, 0, 4)),
-                           month(static_cast<unsigned>(numberIn(Text, 5, 2))),
-                           day(static_cast<unsigned>(numberIn(Text, 8, 2)))};
+  const year_month_day Day{year(parseNumber(Text, 0, 4)),
+                           month(static_cast<unsigned>(parseNumber(Text, 5, 2))),
+                           day(static_cast<unsigned>(parseNumber(Text, 8, 2)))};
   if (!Day.ok())
     return std::nullopt;
   return WallTime(duration_cast<Milliseconds>(sys_days(Day).time_since_epoch()) +
-                  hours(numberIn(Text, 11, 2)) + minutes(numberIn(Text, 14, 2)) +
-                  seconds(numberIn(Text, 17, 2)) + Milliseconds(numberIn(Text, 20, 3)));
+                  hours(parseNumber(Text, 11, 2)) + minutes(parseNumber(Text, 14, 2)) +
+                  seconds(parseNumber(Text, 17, 2)) + Milliseconds(parseNumber(Text, 20, 3)));
 }
 
 // The name of the event and its values.
@@ -70,7 +70,7 @@
   return Word;
 }
 
-EventLine eventOf(std::string_view Rest) {
+EventLine parseEvent(std::string_view Rest) {
   EventLine Read;
   takeWord(Rest); // its number
   Read.Name = takeWord(Rest);
@@ -82,26 +82,26 @@
   return Read;
 }
 
-void noteFirst(std::optional<WallTime> &Known, WallTime At) {
+void keepEarliest(std::optional<WallTime> &Known, WallTime At) {
   if (!Known || At < *Known)
     Known = At;
 }
 
-void noteEvent(JobTrace &Job, const EventLine &Event, WallTime At) {
+void applyEvent(JobTrace &Job, const EventLine &Event, WallTime At) {
   if (Event.Name == "job-taken") {
     Job.Queue = Event.text("queue");
-    noteFirst(Job.Taken, At);
+    keepEarliest(Job.Accepted, At);
   } else if (Event.Name == "call-refused") {
     Job.Refused = Event.text("kind");
   } else if (Event.Name == "job-kept") {
     Job.Refused.clear(); // its caller came again
   } else if (Event.Name == "advice-given") {
-    noteFirst(Job.FirstAdvice, At);
+    keepEarliest(Job.FirstAdvice, At);
   } else if (Event.Name == "step-placed") {
-    noteFirst(Job.FirstPlaced, At);
+    keepEarliest(Job.FirstPlaced, At);
     Job.Objective = At + Milliseconds(Event.number("objective_in_ms"));
   } else if (Event.Name == "run-stopped") {
-    ++Job.Stops;
+    ++Job.StoppedRuns;
   } else if (Event.Name == "task-failed") {
     ++Job.FailedRuns;
   } else if (Event.Name == "run-lost") {
@@ -118,27 +118,27 @@
 }
 } // namespace
 
-void readLogLine(LossBook &Book, std::string_view Line) {
-  const size_t Mark = Line.find(EventMark);
+void readLogLine(LogSummary &Summary, std::string_view Line) {
+  const size_t Mark = Line.find(EventPrefix);
   if (Mark == std::string_view::npos)
     return;
-  const std::optional<WallTime> At = timeOf(Line.substr(0, Mark));
+  const std::optional<WallTime> At = parseTime(Line.substr(0, Mark));
   if (!At)
     return;
-  Book.Newest = std::max(Book.Newest, *At);
-  const EventLine Event = eventOf(Line.substr(Mark + 1));
-  Book.LinesLeftOut += static_cast<uint64_t>(Event.number("left_out"));
+  Summary.Newest = std::max(Summary.Newest, *At);
+  const EventLine Event = parseEvent(Line.substr(Mark + 1));
+  Summary.LinesSuppressed += static_cast<uint64_t>(Event.number("left_out"));
   for (const std::string_view Key : {"job", "step", "task"})
     if (const std::string_view Id = Event.text(Key); Id.size() >= IdDigits) {
-      noteEvent(Book.Jobs[std::string(Id.substr(0, IdDigits))], Event, *At);
+      applyEvent(Summary.Jobs[std::string(Id.substr(0, IdDigits))], Event, *At);
       return;
     }
 }
 
-std::string_view causeOf(const JobTrace &Job, WallTime Newest) {
+std::string_view lossCause(const JobTrace &Job, WallTime Newest) {
   if (Job.Cancelled)
     return {};
-  if (!Job.Taken)
+  if (!Job.Accepted)
     return Job.Refused; // empty: only what others say of it was kept back
   if (Job.GivenUp)
     return "a task of it crashes its workers";
@@ -150,9 +150,9 @@
                               : "no room on advised workers";
   if (Job.Ended.value_or(Newest) <= *Job.Objective)
     return {};
-  const Steady::duration Whole = *Job.Objective - *Job.Taken;
-  const Steady::duration Advice = Job.FirstAdvice.value_or(*Job.Taken) - *Job.Taken;
-  const Steady::duration Room = *Job.FirstPlaced - Job.FirstAdvice.value_or(*Job.Taken);
+  const Steady::duration Whole = *Job.Objective - *Job.Accepted;
+  const Steady::duration Advice = Job.FirstAdvice.value_or(*Job.Accepted) - *Job.Accepted;
+  const Steady::duration Room = *Job.FirstPlaced - Job.FirstAdvice.value_or(*Job.Accepted);
   if (Room * 2 > Whole && Room > Advice)
     return "waited for room";
   if (Advice * 2 > Whole)
@@ -161,41 +161,41 @@
     return "its workers were lost";
   if (Job.FailedRuns > 0)
     return "runs failed and went on elsewhere";
-  if (Job.Stops > 0)
+  if (Job.StoppedRuns > 0)
     return "runs were stopped";
   return Job.Ended ? "worked longer than was guessed" : "not done";
 }
 
-std::vector<LossLine> lossLines(const LossBook &Book) {
+std::vector<LossCount> countLosses(const LogSummary &Summary) {
   std::map<std::pair<std::string, std::string>, uint64_t> Counts;
-  for (const auto &[Id, Job] : Book.Jobs)
-    if (const std::string_view Cause = causeOf(Job, Book.Newest); !Cause.empty())
+  for (const auto &[Id, Job] : Summary.Jobs)
+    if (const std::string_view Cause = lossCause(Job, Summary.Newest); !Cause.empty())
       ++Counts[{Job.Queue.empty() ? "-" : Job.Queue, std::string(Cause)}];
-  std::vector<LossLine> Lines;
+  std::vector<LossCount> Lines;
   Lines.reserve(Counts.size());
   for (const auto &[Of, Count] : Counts)
     Lines.push_back({Of.first, Of.second, Count});
-  std::stable_sort(Lines.begin(), Lines.end(), [](const LossLine &A, const LossLine &B) {
+  std::stable_sort(Lines.begin(), Lines.end(), [](const LossCount &A, const LossCount &B) {
     return A.Queue != B.Queue ? A.Queue < B.Queue : A.Jobs > B.Jobs;
   });
   return Lines;
 }
 
-std::string lossTable(const LossBook &Book, const std::vector<LossLine> &Lines) {
+std::string lossTable(const LogSummary &Summary, const std::vector<LossCount> &Lines) {
   std::ostringstream Text;
-  for (const LossLine &One : Lines)
+  for (const LossCount &One : Lines)
     Text << One.Queue << "  " << One.Jobs << "  " << One.Cause << "\n";
-  Text << Book.Jobs.size() << " jobs seen, " << Book.LinesLeftOut
+  Text << Summary.Jobs.size() << " jobs seen, " << Summary.LinesSuppressed
        << " lines held back by the log's limit\n";
   return Text.str();
 }
 
-std::string lossJson(const LossBook &Book, const std::vector<LossLine> &Lines) {
+std::string lossJson(const LogSummary &Summary, const std::vector<LossCount> &Lines) {
   boost::json::array Rows;
-  for (const LossLine &One : Lines)
+  for (const LossCount &One : Lines)
     Rows.push_back({{"queue", One.Queue}, {"cause", One.Cause}, {"jobs", One.Jobs}});
-  return boost::json::serialize(boost::json::object{{"jobs_seen", Book.Jobs.size()},
-                                                    {"lines_left_out", Book.LinesLeftOut},
+  return boost::json::serialize(boost::json::object{{"jobs_seen", Summary.Jobs.size()},
+                                                    {"lines_left_out", Summary.LinesSuppressed},
                                                     {"losses", std::move(Rows)}}) +
          "\n";
 }
--- a/src/losses/losses_test.cpp
+++ b/src/losses/losses_test.cpp
@@ -11,9 +11,9 @@
 
 // Lines of one job, each with its second within a minute.
 struct Log {
-  LossBook Book;
+  LogSummary Summary;
   Log &at(const std::string &Second, const std::string &Event) {
-    readLogLine(Book, "2026-09-28T10:55:" + Second + " INFO box-1 " + Event);
+    readLogLine(Summary, "2026-09-28T10:55:" + Second + " INFO box-1 " + Event);
     return *this;
   }
   Log &taken(const std::string &Second) {
@@ -30,18 +30,18 @@
     return at(Second, "VS-1403 job-ended job=" + std::string(Id) + " phase=" + Phase);
   }
   std::string cause() const {
-    return std::string(causeOf(Book.Jobs.at(std::string(Id)), Book.Newest));
+    return std::string(lossCause(Summary.Jobs.at(std::string(Id)), Summary.Newest));
   }
 };
 
-TEST(Losses, WhatIsInTimeOrCancelledIsNone) {
+TEST(Losses, JobsInTimeOrCancelledAreNotLosses) {
   EXPECT_EQ(Log().taken("01.000").advised("01.020").placed("01.030", "900").ended("01.900").cause(),
             "");
   EXPECT_EQ(Log().taken("01.000").placed("01.030", "900").ended("09.900", "3").cause(), "");
   EXPECT_EQ(Log().taken("01.000").placed("01.030", "9000").cause(), "") << "it may still be";
 }
 
-TEST(Losses, EachLossHasItsCause) {
+TEST(Losses, EachLateOrFailedJobHasItsCause) {
   EXPECT_EQ(Log().taken("01.000").advised("01.020").placed("03.500", "500").ended("05.000").cause(),
             "waited for room");
   EXPECT_EQ(Log().taken("01.000").advised("03.400").placed("03.500", "500").ended("05.000").cause(),
@@ -60,7 +60,7 @@
   EXPECT_EQ(Stopped.cause(), "runs failed and went on elsewhere");
 }
 
-TEST(Losses, WorkersThatWereLostUnderAJobAreACause) {
+TEST(Losses, LostWorkersAreACause) {
   Log Late;
   Late.taken("01.000").placed("01.030", "900").ended("05.000");
   Late.at("02.000", "VS-2306 run-lost task=" + std::string(Id) +
@@ -73,31 +73,31 @@
   EXPECT_EQ(GivenUp.cause(), "a task of it crashes its workers");
 }
 
-TEST(Losses, ARefusalCountsUnlessItsCallerCameAgain) {
+TEST(Losses, ARefusalCountsUnlessARetryIsAccepted) {
   Log Given;
   Given.at("01.000", "VS-2202 call-refused job=" + std::string(Id) +
                          " kind=store-unavailable why=\"the store does not answer\" left_out=7");
   EXPECT_EQ(Given.cause(), "store-unavailable");
-  EXPECT_EQ(Given.Book.LinesLeftOut, 7u);
+  EXPECT_EQ(Given.Summary.LinesSuppressed, 7u);
   Given.at("02.000", "VS-2201 job-kept job=" + std::string(Id) + " ms=4");
   EXPECT_EQ(Given.cause(), "");
 }
 
-TEST(Losses, OtherLinesArePassedOver) {
-  LossBook Book;
+TEST(Losses, LinesWithoutJobEventsAreIgnored) {
+  LogSummary Summary;
   for (const char *Line : {"", "no event", "2026-13-41Tnonsense VS-2203 job-taken job=1",
                            "2026-09-28T10:55:01.000 INFO box-1 VS-1302 store-up failures=2"})
-    readLogLine(Book, Line);
-  EXPECT_TRUE(Book.Jobs.empty());
+    readLogLine(Summary, Line);
+  EXPECT_TRUE(Summary.Jobs.empty());
 }
 
-TEST(Losses, TheTableIsByQueueAndNumber) {
+TEST(Losses, TheReportsNameQueueCountAndCause) {
   Log Given;
   Given.taken("01.000").advised("01.020").placed("03.500", "500").ended("05.000");
-  const auto Lines = lossLines(Given.Book);
-  EXPECT_EQ(lossTable(Given.Book, Lines),
+  const auto Lines = countLosses(Given.Summary);
+  EXPECT_EQ(lossTable(Given.Summary, Lines),
             "q  1  waited for room\n1 jobs seen, 0 lines held back by the log's limit\n");
-  EXPECT_NE(lossJson(Given.Book, Lines).find(R"("cause":"waited for room")"), std::string::npos);
+  EXPECT_NE(lossJson(Given.Summary, Lines).find(R"("cause":"waited for room")"), std::string::npos);
 }
 
 } // namespace
--- a/src/valveshelf/report_command.cpp
+++ b/src/valveshelf/report_command.cpp
@@ -44,7 +44,7 @@
 }
 
 int reportLosses(const std::vector<std::string> &Files, bool AsJson) {
-  LossBook Book;
+  LogSummary Summary;
   for (const std::string &File : Files) {
     std::ifstream In(File);
     if (!In) {
@@ -52,10 +52,10 @@
       return ExitFailed;
     }
     for (std::string Line; std::getline(In, Line);)
-      readLogLine(Book, Line);
+      readLogLine(Summary, Line);
   }
-  const std::vector<LossLine> Lines = lossLines(Book);
-  std::cout << (AsJson ? lossJson(Book, Lines) : lossTable(Book, Lines));
+  const std::vector<LossCount> Lines = countLosses(Summary);
+  std::cout << (AsJson ? lossJson(Summary, Lines) : lossTable(Summary, Lines));
   return ExitDone;
 }
 
