--- a/src/burn/burn.cpp
+++ b/src/burn/burn.cpp
@@ -12,19 +12,19 @@
 namespace {
 constexpr std::chrono::minutes ShortWindow{5};
 // The part of an hour's budget that is left counts from this window.
-constexpr std::array<Milliseconds, 2> Windows{Milliseconds(ShortWindow), BurnKept};
+constexpr std::array<Milliseconds, 2> Windows{Milliseconds(ShortWindow), BurnRetention};
 
 int64_t minuteOf(WallTime Time) {
   return std::chrono::duration_cast<std::chrono::minutes>(Time.time_since_epoch()).count();
 }
 
-void dropOld(BurnBook::Minutes &Minutes) {
-  const int64_t Oldest =
-      Minutes.rbegin()->first - std::chrono::duration_cast<std::chrono::minutes>(BurnKept).count();
+void evictOldMinutes(BurnBook::Minutes &Minutes) {
+  const int64_t Oldest = Minutes.rbegin()->first -
+                         std::chrono::duration_cast<std::chrono::minutes>(BurnRetention).count();
   Minutes.erase(Minutes.begin(), Minutes.lower_bound(Oldest));
 }
 
-Error bad(const std::string &Field, const char *Problem) {
+Error malformedReport(const std::string &Field, const char *Problem) {
   return {ErrorKind::BadRequest, "burn report: " + Field + " " + Problem};
 }
 
@@ -55,7 +55,7 @@
   Counts.Met += What == BurnOutcome::Met ? 1 : 0;
   Counts.Late += What == BurnOutcome::Late ? 1 : 0;
   Counts.Failed += What == BurnOutcome::Failed ? 1 : 0;
-  dropOld(Minutes);
+  evictOldMinutes(Minutes);
 }
 
 void mergeBurn(BurnBook &Book, const BurnBook &Other) {
@@ -79,18 +79,18 @@
   json::error_code Failure;
   const json::value Root = json::parse(Text, Failure);
   if (Failure || !Root.is_object())
-    return bad("the text", "is not a JSON object");
+    return malformedReport("the text", "is not a JSON object");
   const json::value *Queues = Root.as_object().if_contains("queues");
   if (!Queues || !Queues->is_object())
-    return bad("queues", "is not an object");
+    return malformedReport("queues", "is not an object");
   BurnBook Book;
   for (const auto &[Queue, Rows] : Queues->as_object()) {
     if (!Rows.is_array())
-      return bad("queues." + std::string(Queue), "is not a list");
+      return malformedReport("queues." + std::string(Queue), "is not a list");
     for (const json::value &Row : Rows.as_array()) {
       BurnCounts Counts;
       if (!readCounts(Row, Counts))
-        return bad("queues." + std::string(Queue), "has a row that is not four counts");
+        return malformedReport("queues." + std::string(Queue), "has a row that is not four counts");
       Book.Queues[Queue][Row.as_array()[0].as_int64()] += Counts;
     }
   }
@@ -105,8 +105,8 @@
       for (auto At = Minutes.upper_bound(minuteOf(Now - Window)); At != Minutes.end(); ++At)
         Line.Counts += At->second;
       if (const uint64_t All = Line.Counts.total(); All > 0) {
-        Line.Share = static_cast<double>(Line.Counts.Met) / static_cast<double>(All);
-        Line.Burn = (1 - Line.Share) / (1 - Target);
+        Line.ShareMet = static_cast<double>(Line.Counts.Met) / static_cast<double>(All);
+        Line.BurnRate = (1 - Line.ShareMet) / (1 - Target);
       }
       Lines.push_back(std::move(Line));
     }
--- a/src/burn/burn_report.cpp
+++ b/src/burn/burn_report.cpp
@@ -12,7 +12,7 @@
 namespace json = boost::json;
 
 namespace {
-// A plot's height, and the width of a minute in it, in pixels.
+// A drawPlot's height, and the width of a minute in it, in pixels.
 constexpr int PlotHeight = 60;
 constexpr int MinuteWidth = 8;
 
@@ -21,7 +21,7 @@
 }
 
 // The part of the window's budget that is not used up.
-double leftOf(const BurnLine &Line) { return std::max(0.0, 1 - Line.Burn); }
+double budgetLeft(const BurnLine &Line) { return std::max(0.0, 1 - Line.BurnRate); }
 
 std::string escaped(const std::string &Text) {
   std::string Safe;
@@ -30,32 +30,32 @@
   return Safe;
 }
 
-void bar(std::ostream &Out, int64_t At, double Bottom, double Height, const char *Colour) {
+void drawBar(std::ostream &Out, int64_t At, double Bottom, double Height, const char *Colour) {
   Out << "<rect x=\"" << At * MinuteWidth << "\" y=\"" << PlotHeight - Bottom - Height
       << "\" width=\"" << MinuteWidth - 1 << "\" height=\"" << Height << "\" fill=\"" << Colour
       << "\"/>";
 }
 
 // Jobs a minute, stacked by how they ended; the newest minute stands at the right.
-void plot(std::ostream &Out, const BurnBook::Minutes &Minutes, WallTime Now) {
-  const int64_t Count = minutesOf(BurnKept);
+void drawPlot(std::ostream &Out, const BurnBook::Minutes &Minutes, WallTime Now) {
+  const int64_t Count = minutesOf(BurnRetention);
   const int64_t First =
       std::chrono::duration_cast<std::chrono::minutes>(Now.time_since_epoch()).count() - Count + 1;
-  uint64_t Most = 1;
+  uint64_t MaxJobs = 1;
   for (const auto &[Minute, Counts] : Minutes)
-    Most = std::max(Most, Counts.total());
+    MaxJobs = std::max(MaxJobs, Counts.total());
   Out << "<svg width=\"" << Count * MinuteWidth << "\" height=\"" << PlotHeight << "\">";
-  const double Scale = static_cast<double>(PlotHeight) / static_cast<double>(Most);
+  const double Scale = static_cast<double>(PlotHeight) / static_cast<double>(MaxJobs);
   for (const auto &[Minute, Counts] : Minutes) {
     if (Minute < First)
       continue;
     const double Met = static_cast<double>(Counts.Met) * Scale;
     const double Late = static_cast<double>(Counts.Late) * Scale;
-    bar(Out, Minute - First, 0, Met, "#4a8");
-    bar(Out, Minute - First, Met, Late, "#db4");
-    bar(Out, Minute - First, Met + Late, static_cast<double>(Counts.Failed) * Scale, "#c44");
+    drawBar(Out, Minute - First, 0, Met, "#4a8");
+    drawBar(Out, Minute - First, Met, Late, "#db4");
+    drawBar(Out, Minute - First, Met + Late, static_cast<double>(Counts.Failed) * Scale, "#c44");
   }
-  Out << "</svg>\n<p>Most jobs in a minute: " << Most << "</p>\n";
+  Out << "</svg>\n<p>Most jobs in a minute: " << MaxJobs << "</p>\n";
 }
 } // namespace
 
@@ -70,8 +70,8 @@
     Out << std::left << std::setw(24) << Line.Queue << std::right << std::setw(6)
         << minutesOf(Line.Window) << " m" << std::setw(9) << Line.Counts.total() << std::setw(9)
         << Line.Counts.Late << std::setw(9) << Line.Counts.Failed << std::setw(9)
-        << std::setprecision(2) << Line.Share * 100 << std::setw(9) << Line.Burn << std::setw(8)
-        << std::setprecision(0) << leftOf(Line) * 100 << "\n";
+        << std::setprecision(2) << Line.ShareMet * 100 << std::setw(9) << Line.BurnRate
+        << std::setw(8) << std::setprecision(0) << budgetLeft(Line) * 100 << "\n";
   return Out.str();
 }
 
@@ -83,9 +83,9 @@
                                 {"met", Line.Counts.Met},
                                 {"late", Line.Counts.Late},
                                 {"failed", Line.Counts.Failed},
-                                {"share_met", Line.Share},
-                                {"burn", Line.Burn},
-                                {"budget_left", leftOf(Line)}});
+                                {"share_met", Line.ShareMet},
+                                {"burn", Line.BurnRate},
+                                {"budget_left", budgetLeft(Line)}});
   return json::serialize(json::object{{"target", Target}, {"lines", std::move(Rows)}}) + "\n";
 }
 
@@ -100,7 +100,7 @@
          "minute.</p>\n";
   for (const auto &[Queue, Minutes] : Book.Queues) {
     Out << "<h2>" << escaped(Queue) << "</h2>\n";
-    plot(Out, Minutes, Now);
+    drawPlot(Out, Minutes, Now);
   }
   return Out.str();
 }
--- a/src/burn/burn_test.cpp
+++ b/src/burn/burn_test.cpp
@@ -23,19 +23,19 @@
   const auto Lines = burnLines(mixed(), 0.99, Noon);
   ASSERT_EQ(Lines.size(), 2u);
   EXPECT_EQ(Lines[0].Counts, (BurnCounts{0, 2, 1}));
-  EXPECT_DOUBLE_EQ(Lines[0].Share, 0);
+  EXPECT_DOUBLE_EQ(Lines[0].ShareMet, 0);
   EXPECT_EQ(Lines[1].Counts, (BurnCounts{97, 2, 1}));
-  EXPECT_NEAR(Lines[1].Burn, 3, 1e-9);
+  EXPECT_NEAR(Lines[1].BurnRate, 3, 1e-9);
 }
 
-TEST(Burn, ForgetsWhatIsOlderThanTheLongestWindow) {
+TEST(Burn, EvictsMinutesOlderThanTheLongestWindow) {
   BurnBook Book;
   noteEnd(Book, "checks", BurnOutcome::Late, Noon - 2h);
   noteEnd(Book, "checks", BurnOutcome::Met, Noon);
   EXPECT_EQ(Book.Queues.at("checks").size(), 1u);
 }
 
-TEST(Burn, ReportsOfProcessesAddUp) {
+TEST(Burn, MergedReportsAddTheirCounts) {
   BurnBook Sum = mixed();
   Result<BurnBook> Other = decodeBurn(encodeBurn(mixed()));
   ASSERT_TRUE(ok(Other));
@@ -43,7 +43,7 @@
   EXPECT_EQ(burnLines(Sum, 0.99, Noon)[1].Counts, (BurnCounts{194, 4, 2}));
 }
 
-TEST(Burn, BadTextNamesTheField) {
+TEST(Burn, MalformedReportsAreRefusedByField) {
   for (const char *Text :
        {"", "[]", "{}", R"({"queues":{"a":1}})", R"({"queues":{"a":[[1,2,3]]}})",
         R"({"queues":{"a":[[1,2,3,-4]]}})", R"({"queues":{"a":[["1",2,3,4]]}})"}) {
@@ -54,7 +54,7 @@
   EXPECT_NE(error(decodeBurn(R"({"queues":{"a":1}})")).Detail.find("queues.a"), std::string::npos);
 }
 
-TEST(Burn, ThePageEscapesNamesAndHoldsEachQueue) {
+TEST(Burn, ThePageEscapesQueueNamesAndPlotsEachQueue) {
   BurnBook Book;
   noteEnd(Book, "<b>", BurnOutcome::Met, Noon);
   const std::string Page = burnPage(Book, burnLines(Book, 0.9, Noon), 0.9, Noon);
--- a/src/include/valveshelf/burn.h
+++ b/src/include/valveshelf/burn.h
@@ -28,7 +28,7 @@
 };
 
 /// Ends by queue and minute. Plain data; one thread at a time.
-/// Invariant: no queue holds a minute that is older than `BurnKept` before its newest.
+/// Invariant: no queue holds a minute that is older than `BurnRetention` before its newest.
 struct BurnBook {
   /// Minutes since 1970.
   using Minutes = std::map<int64_t, BurnCounts>;
@@ -36,7 +36,7 @@
 };
 
 /// The longest window of a report.
-inline constexpr Milliseconds BurnKept{60 * 60 * 1000};
+inline constexpr Milliseconds BurnRetention{60 * 60 * 1000};
 
 void noteEnd(BurnBook &Book, const std::string &Queue, BurnOutcome What, WallTime Now);
 /// Adds what another process counted.
@@ -52,15 +52,15 @@
   std::string Queue;
   Milliseconds Window{0};
   BurnCounts Counts;
-  double Share = 1; ///< Of jobs that met their objective; 1 without jobs.
-  double Burn = 0;  ///< 1: the budget is used up exactly as fast as allowed.
+  double ShareMet = 1; ///< Of jobs that met their objective; 1 without jobs.
+  double BurnRate = 0; ///< 1: the budget is used up exactly as fast as allowed.
 };
 
 /// Lines for the last five minutes and the last hour. \p Target is the share of jobs that has to
 /// meet its objective, above 0 and below 1.
 std::vector<BurnLine> burnLines(const BurnBook &Book, double Target, WallTime Now);
 
-/// The report in its three forms. The page is self-contained and has a plot a queue.
+/// The report in its three forms. The page is self-contained and has a drawPlot a queue.
 std::string burnTable(const std::vector<BurnLine> &Lines, double Target);
 std::string burnJson(const std::vector<BurnLine> &Lines, double Target);
 std::string burnPage(const BurnBook &Book, const std::vector<BurnLine> &Lines, double Target,
--- a/src/include/valveshelf/losses.h
+++ b/src/include/valveshelf/losses.h
@@ -18,7 +18,7 @@
 /// clocks; they are milliseconds apart.
 struct JobTrace {
   std::string Queue;                   ///< Empty: no line of it tells.
-  std::optional<WallTime> Accepted;       ///< The scheduler first heard of it,
+  std::optional<WallTime> Accepted;    ///< The scheduler first heard of it,
   std::optional<WallTime> FirstAdvice; ///< got advice for a step,
   std::optional<WallTime> FirstPlaced; ///< ordered a start,
   std::optional<WallTime> Ended;       ///< and had its end saved.
@@ -26,7 +26,7 @@
   std::string Refused;                 ///< Kind of its refusal; empty: none.
   bool Failed = false;                 ///< It ended as failed.
   bool Cancelled = false;              ///< Its caller called it off; it counts for nothing.
-  uint32_t StoppedRuns = 0;                  ///< Of its runs, for others or by their workers.
+  uint32_t StoppedRuns = 0;            ///< Of its runs, for others or by their workers.
   uint32_t LostRuns = 0;               ///< With their workers.
   bool GivenUp = false;                ///< Because a task of it crashes its workers.
   uint32_t FailedRuns = 0;
@@ -35,7 +35,7 @@
 /// All that was read. Add the lines of each process in their order, the processes in any.
 struct LogSummary {
   std::map<std::string, JobTrace> Jobs; ///< By id.
-  uint64_t LinesSuppressed = 0;            ///< Held back by the limit of the log.
+  uint64_t LinesSuppressed = 0;         ///< Held back by the limit of the log.
   WallTime Newest{};                    ///< Time of the newest line.
 };
 
