--- a/src/valveshelf/client_commands.cpp
+++ b/src/valveshelf/client_commands.cpp
@@ -22,11 +22,11 @@
   return Options;
 }
 
-std::string textOf(const cxxopts::ParseResult &Parsed, const char *Name) {
+std::string stringOption(const cxxopts::ParseResult &Parsed, const char *Name) {
   return Parsed.count(Name) || Parsed[Name].has_default() ? Parsed[Name].as<std::string>() : "";
 }
 
-int missing(const Arguments &Args, const std::string &What) {
+int reportMissing(const Arguments &Args, const std::string &What) {
   std::cerr << Args[0] << ": " << What << " is needed\n";
   return ExitUsage;
 }
@@ -92,8 +92,8 @@
   return ExitDone;
 }
 
-int jobCall(const Arguments &Args, const std::string &Help, const std::string &Method,
-            const std::string &Suffix, bool JobNeeded) {
+int runJobCommand(const Arguments &Args, const std::string &Help, const std::string &Method,
+                  const std::string &Suffix, bool JobNeeded) {
   cxxopts::Options Options = optionsFor(Args, Help, DefaultCallers);
   Options.add_options()("job", "id of the job", cxxopts::value<std::string>());
   Options.add_options()("partner", "list only this partner's jobs", cxxopts::value<std::string>());
@@ -103,23 +103,24 @@
   const auto Parsed = parseOptions(Options, Args, Exit);
   if (!Parsed)
     return Exit;
-  const std::string Job = textOf(*Parsed, "job");
+  const std::string Job = stringOption(*Parsed, "job");
   if (JobNeeded && Job.empty())
-    return missing(Args, "JOB");
-  const std::string Partner = textOf(*Parsed, "partner");
+    return reportMissing(Args, "JOB");
+  const std::string Partner = stringOption(*Parsed, "partner");
   std::string Target = Job.empty() ? "/v1/jobs" : "/v1/jobs/" + Job + Suffix;
   if (Job.empty() && !Partner.empty())
     Target += "?partner=" + Partner;
-  const auto Answer = callEntry(textOf(*Parsed, "entry"), {Method, Target, {}, ""}, CallTimeout);
-  const std::string Output = textOf(*Parsed, "output");
+  const auto Answer =
+      callEntry(stringOption(*Parsed, "entry"), {Method, Target, {}, ""}, CallTimeout);
+  const std::string Output = stringOption(*Parsed, "output");
   return Method == "GET" ? printJobs(Answer, Output) : printAnswer(Answer, Output);
 }
 
 int showConfig(const cxxopts::ParseResult &Parsed) {
   const auto Answer =
-      callEntry(textOf(Parsed, "entry"), {"GET", "/v1/config", {}, ""}, CallTimeout);
-  if (textOf(Parsed, "output") == "json" || !ok(Answer) || value(Answer).Status != 200)
-    return printAnswer(Answer, textOf(Parsed, "output"));
+      callEntry(stringOption(Parsed, "entry"), {"GET", "/v1/config", {}, ""}, CallTimeout);
+  if (stringOption(Parsed, "output") == "json" || !ok(Answer) || value(Answer).Status != 200)
+    return printAnswer(Answer, stringOption(Parsed, "output"));
   const json::value Root = json::parse(value(Answer).Body);
   std::cout << "# version " << Root.at("version").to_number<uint64_t>() << "\n";
   for (const auto &[Partner, Part] : Root.at("parts").as_object())
@@ -140,29 +141,30 @@
 }
 
 int applyConfig(const Arguments &Args, const cxxopts::ParseResult &Parsed) {
-  const std::string Partner = textOf(Parsed, "partner");
-  const std::string Path = textOf(Parsed, "file");
+  const std::string Partner = stringOption(Parsed, "partner");
+  const std::string Path = stringOption(Parsed, "file");
   if (Partner.empty() || Path.empty())
-    return missing(Args, "--partner NAME and FILE");
+    return reportMissing(Args, "--partner NAME and FILE");
   Result<std::string> Text = readFile(Path);
   if (!ok(Text)) {
     std::cerr << error(Text).Detail << "\n";
     return ExitUsage;
   }
-  const std::string Entry = textOf(Parsed, "entry");
-  std::string Base = textOf(Parsed, "base");
+  const std::string Entry = stringOption(Parsed, "entry");
+  std::string Base = stringOption(Parsed, "base");
   if (Base.empty()) {
     Result<std::string> Current = currentBase(Entry, Partner);
     if (!ok(Current))
-      return printAnswer(error(Current), textOf(Parsed, "output"));
+      return printAnswer(error(Current), stringOption(Parsed, "output"));
     Base = value(Current);
   }
   std::string Target = "/v1/config/" + Partner + "?base=" + Base;
-  if (const std::string Id = textOf(Parsed, "id"); !Id.empty())
+  if (const std::string Id = stringOption(Parsed, "id"); !Id.empty())
     Target += "&id=" + Id;
   HttpRequest Request{
-      "PUT", Target, {{"Authorization", "Bearer " + textOf(Parsed, "token")}}, value(Text)};
-  return printAnswer(callEntry(Entry, std::move(Request), CallTimeout), textOf(Parsed, "output"));
+      "PUT", Target, {{"Authorization", "Bearer " + stringOption(Parsed, "token")}}, value(Text)};
+  return printAnswer(callEntry(Entry, std::move(Request), CallTimeout),
+                     stringOption(Parsed, "output"));
 }
 
 } // namespace
@@ -178,24 +180,26 @@
   if (!Parsed)
     return Exit;
   if (!Parsed->count("file"))
-    return missing(Args, "FILE");
-  Result<std::string> Text = readFile(textOf(*Parsed, "file"));
+    return reportMissing(Args, "FILE");
+  Result<std::string> Text = readFile(stringOption(*Parsed, "file"));
   if (!ok(Text)) {
     std::cerr << error(Text).Detail << "\n";
     return ExitUsage;
   }
   HttpRequest Request{"POST", "/v1/jobs", {{"Content-Type", "application/json"}}, value(Text)};
-  return printAnswer(callEntry(textOf(*Parsed, "entry"), std::move(Request), CallTimeout),
-                     textOf(*Parsed, "output"));
+  return printAnswer(callEntry(stringOption(*Parsed, "entry"), std::move(Request), CallTimeout),
+                     stringOption(*Parsed, "output"));
 }
 
 int runStatus(const Arguments &Args) {
-  return jobCall(Args, "Shows a job and its tasks, or all jobs.", "GET", "", false);
+  return runJobCommand(Args, "Shows a job and its tasks, or all jobs.", "GET", "", false);
+}
+int runCancel(const Arguments &Args) {
+  return runJobCommand(Args, "Cancels a job.", "DELETE", "", true);
 }
-int runCancel(const Arguments &Args) { return jobCall(Args, "Cancels a job.", "DELETE", "", true); }
 int runExplain(const Arguments &Args) {
-  return jobCall(Args, "Says why a job runs where it runs or why it waits.", "GET", "/explain",
-                 true);
+  return runJobCommand(Args, "Says why a job runs where it runs or why it waits.", "GET",
+                       "/explain", true);
 }
 
 int runConfig(const Arguments &Args) {
@@ -216,12 +220,12 @@
   const auto Parsed = parseOptions(Options, Args, Exit);
   if (!Parsed)
     return Exit;
-  const std::string Action = textOf(*Parsed, "action");
+  const std::string Action = stringOption(*Parsed, "action");
   if (Action == "show")
     return showConfig(*Parsed);
   if (Action == "apply")
     return applyConfig(Args, *Parsed);
-  return missing(Args, "'show' or 'apply'");
+  return reportMissing(Args, "'show' or 'apply'");
 }
 
 int runDrain(const Arguments &Args) {
@@ -234,9 +238,9 @@
   if (!Parsed)
     return Exit;
   HttpRequest Request{
-      "POST", "/v1/drain", {{"Authorization", "Bearer " + textOf(*Parsed, "token")}}, ""};
-  return printAnswer(callEntry(textOf(*Parsed, "entry"), std::move(Request), CallTimeout),
-                     textOf(*Parsed, "output"));
+      "POST", "/v1/drain", {{"Authorization", "Bearer " + stringOption(*Parsed, "token")}}, ""};
+  return printAnswer(callEntry(stringOption(*Parsed, "entry"), std::move(Request), CallTimeout),
+                     stringOption(*Parsed, "output"));
 }
 
 int runMembers(const Arguments &Args) {
@@ -248,9 +252,9 @@
   if (!Parsed)
     return Exit;
   const auto Answer =
-      callEntry(textOf(*Parsed, "entry"), {"GET", "/v1/members", {}, ""}, CallTimeout);
-  if (textOf(*Parsed, "output") == "json" || !ok(Answer) || value(Answer).Status != 200)
-    return printAnswer(Answer, textOf(*Parsed, "output"));
+      callEntry(stringOption(*Parsed, "entry"), {"GET", "/v1/members", {}, ""}, CallTimeout);
+  if (stringOption(*Parsed, "output") == "json" || !ok(Answer) || value(Answer).Status != 200)
+    return printAnswer(Answer, stringOption(*Parsed, "output"));
   const json::value Root = json::parse(value(Answer).Body);
   for (const json::value &Item : Root.at("members").as_array()) {
     const json::object &Member = Item.as_object();
--- a/src/valveshelf/entry_command.cpp
+++ b/src/valveshelf/entry_command.cpp
@@ -17,8 +17,8 @@
 namespace {
 
 void printErrors(const SettingsErrors &Errors) {
-  for (const SettingsError &Wrong : Errors)
-    std::cerr << toString(Wrong) << "\n";
+  for (const SettingsError &Problem : Errors)
+    std::cerr << toString(Problem) << "\n";
 }
 
 // The kind of a file follows from its tables: an entry file has [member].
@@ -40,16 +40,16 @@
                       "`serve` and a partner's configuration"});
   } else if (value(Text).find("\nreadiness") != std::string::npos) {
     auto Parsed = parseCellSettings(value(Text), Path);
-    if (auto *Wrong = std::get_if<SettingsErrors>(&Parsed))
-      Errors = *Wrong;
+    if (auto *Problem = std::get_if<SettingsErrors>(&Parsed))
+      Errors = *Problem;
   } else if (isEntryFile(value(Text))) {
     auto Parsed = parseEntrySettings(value(Text), Path);
-    if (auto *Wrong = std::get_if<SettingsErrors>(&Parsed))
-      Errors = *Wrong;
+    if (auto *Problem = std::get_if<SettingsErrors>(&Parsed))
+      Errors = *Problem;
   } else {
     auto Parsed = parsePartnerConfig(value(Text), Path);
-    if (auto *Wrong = std::get_if<SettingsErrors>(&Parsed))
-      Errors = *Wrong;
+    if (auto *Problem = std::get_if<SettingsErrors>(&Parsed))
+      Errors = *Problem;
   }
   printErrors(Errors);
   if (Errors.empty())
--- a/src/valveshelf/report_command.cpp
+++ b/src/valveshelf/report_command.cpp
@@ -17,8 +17,8 @@
 
 // What the process at \p Address has counted. Empty, with a line on stderr, if it can't be had.
 template <class Book>
-std::optional<Book> readBook(const std::string &Address, const std::string &Page,
-                             Result<Book> (*Decode)(std::string_view)) {
+std::optional<Book> fetchReport(const std::string &Address, const std::string &Page,
+                                Result<Book> (*Decode)(std::string_view)) {
   const Result<HttpResponse> Answer = callEntry(Address, {"GET", Page, {}, ""}, CallTimeout);
   Result<Book> Read = Error{};
   if (!ok(Answer))
@@ -62,7 +62,7 @@
 int reportLoad(const std::vector<std::string> &Addresses, bool AsJson, const std::string &Page) {
   std::vector<ProcessTraffic> Cell;
   for (const std::string &Address : Addresses)
-    if (auto Read = readBook(Address, "/v1/load", decodeTraffic))
+    if (auto Read = fetchReport(Address, "/v1/load", decodeTraffic))
       Cell.push_back({Address, std::move(*Read)});
   std::cout << (AsJson ? trafficJson(Cell) : trafficTable(Cell));
   const int Exit = Page.empty() ? ExitDone : writePage(Page, trafficPage(Cell));
@@ -106,19 +106,19 @@
     return ExitUsage;
   }
   BurnBook Book;
-  bool Whole = true;
+  bool AllAnswered = true;
   for (const std::string &Address : (*Parsed)["entry"].as<std::vector<std::string>>())
-    if (const auto Read = readBook(Address, "/v1/burn", decodeBurn))
+    if (const auto Read = fetchReport(Address, "/v1/burn", decodeBurn))
       mergeBurn(Book, *Read);
     else
-      Whole = false;
+      AllAnswered = false;
   const WallTime Now =
       std::chrono::time_point_cast<WallTime::duration>(std::chrono::system_clock::now());
   const std::vector<BurnLine> Lines = burnLines(Book, Target, Now);
   std::cout << (Parsed->count("json") ? burnJson(Lines, Target) : burnTable(Lines, Target));
   if (!Html.empty())
     Exit = writePage(Html, burnPage(Book, Lines, Target, Now));
-  return Whole ? Exit : ExitFailed;
+  return AllAnswered ? Exit : ExitFailed;
 }
 
 } // namespace valveshelf
--- a/src/valveshelf/serve_command.cpp
+++ b/src/valveshelf/serve_command.cpp
@@ -21,7 +21,7 @@
 // So many times fewer idle connections are kept than the process may have descriptors. A quarter of
 // them made a scheduler of 1,100 workers, which holds a call on each and starts up to four tasks at
 // a time there, open 310 connections a second again.
-constexpr size_t IdleShare = 2;
+constexpr size_t DescriptorsPerIdleConnection = 2;
 
 CellPlatform connect(HttpClient &Client, const CellSettings &Settings) {
   CellPlatform Platform;
@@ -50,14 +50,14 @@
 }
 
 // A changed file is checked and reported; its addresses hold until the next start.
-void checkAgain(const std::string &Path) {
+void checkChangedSettings(const std::string &Path) {
   Result<std::string> Text = readFile(Path);
   if (!ok(Text)) {
     logEvent(events::SettingsRefused, {{"why", "\"" + error(Text).Detail + "\""}});
     return;
   }
-  const auto Read = parseCellSettings(value(Text), Path);
-  if (const auto *Errors = std::get_if<SettingsErrors>(&Read))
+  const auto ParsedSettings = parseCellSettings(value(Text), Path);
+  if (const auto *Errors = std::get_if<SettingsErrors>(&ParsedSettings))
     logEvent(events::SettingsRefused, {{"why", "\"" + toString(Errors->front()) + "\""}});
   else
     logEvent(events::SettingsRead, {{"file", Path}});
@@ -67,7 +67,7 @@
   Signals.async_wait([&Signals, Path](boost::system::error_code Failure, int) {
     if (Failure)
       return;
-    checkAgain(Path);
+    checkChangedSettings(Path);
     awaitReload(Signals, Path);
   });
 }
@@ -79,13 +79,15 @@
   // With one thread the context itself is a strand, and a cheaper one.
   const bool OneThread = Threads == 1;
   TrafficMeter Meter{Clock{}};
-  HttpClient Client(Io.get_executor(), {OneThread, Settings.MaxDescriptors / IdleShare}, &Meter);
-  const Executor Where = OneThread ? Executor(Io.get_executor()) : Executor(asio::make_strand(Io));
+  HttpClient Client(Io.get_executor(),
+                    {OneThread, Settings.MaxDescriptors / DescriptorsPerIdleConnection}, &Meter);
+  const Executor ProcessExecutor =
+      OneThread ? Executor(Io.get_executor()) : Executor(asio::make_strand(Io));
   const std::string Addresses = "callers=" + toString(Settings.Callers) +
                                 " peers=" + toString(Settings.Peers) +
                                 " store=" + toString(Settings.Store);
   CellPlatform Platform = connect(Client, Settings);
-  CellProcess Process(Where, std::move(Settings), Clock{}, std::move(Platform),
+  CellProcess Process(ProcessExecutor, std::move(Settings), Clock{}, std::move(Platform),
                       makeHttpCellLink(Client), Meter);
   if (Result<Done> Started = Process.start(); !ok(Started)) {
     std::cerr << "valveshelf serve: " << error(Started).Detail << "\n";
@@ -138,14 +140,14 @@
   }
   auto Settings = parseCellSettings(value(Text), Path);
   if (auto *Errors = std::get_if<SettingsErrors>(&Settings)) {
-    for (const SettingsError &Wrong : *Errors)
-      std::cerr << toString(Wrong) << "\n";
+    for (const SettingsError &Problem : *Errors)
+      std::cerr << toString(Problem) << "\n";
     return ExitUsage;
   }
-  CellSettings &Read = std::get<CellSettings>(Settings);
-  openLog(Read.LogLevel, Read.Member, {true, Read.LogLinesPerSecond});
+  CellSettings &ParsedSettings = std::get<CellSettings>(Settings);
+  openLog(ParsedSettings.LogLevel, ParsedSettings.Member, {true, ParsedSettings.LogLinesPerSecond});
   std::signal(SIGPIPE, SIG_IGN);
-  return serve(std::move(Read), Path);
+  return serve(std::move(ParsedSettings), Path);
 }
 
 } // namespace valveshelf
