--- a/src/include/valveshelf/losses.h
+++ b/src/include/valveshelf/losses.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Why jobs were refused, late or not done: one cause a job, read from the logs of a cell's
-// processes.
+// Attributes each refused, late or failed job to one cause, from the logs of a cell's processes.
+// Used by `valveshelf report losses`.
 #pragma once
 
 #include "valveshelf/clock.h"
@@ -14,45 +14,46 @@
 
 namespace valveshelf {
 
-/// What the logs say of one job. Times are those of the lines, which processes write by their own
-/// clocks; they are milliseconds apart.
+/// The log events of one job. Times are those of the log lines; clocks of different processes may
+/// differ by milliseconds.
 struct JobTrace {
-  std::string Queue;                   ///< Empty: no line of it tells.
-  std::optional<WallTime> Accepted;    ///< The scheduler first heard of it,
-  std::optional<WallTime> FirstAdvice; ///< got advice for a step,
-  std::optional<WallTime> FirstPlaced; ///< ordered a start,
-  std::optional<WallTime> Ended;       ///< and had its end saved.
-  std::optional<WallTime> Objective;   ///< As the scheduler reckons it.
-  std::string Refused;                 ///< Kind of its refusal; empty: none.
-  bool Failed = false;                 ///< It ended as failed.
-  bool Cancelled = false;              ///< Its caller called it off; it counts for nothing.
-  uint32_t StoppedRuns = 0;            ///< Of its runs, for others or by their workers.
-  uint32_t LostRuns = 0;               ///< With their workers.
-  bool GivenUp = false;                ///< Because a task of it crashes its workers.
+  std::string Queue;                   ///< Empty if no line names it.
+  std::optional<WallTime> Accepted;    ///< First accepted by the scheduler.
+  std::optional<WallTime> FirstAdvice; ///< First advice received for a step.
+  std::optional<WallTime> FirstPlaced; ///< First placement of a step.
+  std::optional<WallTime> Ended;       ///< End logged.
+  std::optional<WallTime> Objective;   ///< Computed by the scheduler.
+  std::string Refused;                 ///< Kind of the refusal; empty if there was none.
+  bool Failed = false;                 ///< Ended as failed.
+  bool Cancelled = false;              ///< Cancelled by its caller; never a loss.
+  uint32_t StoppedRuns = 0;            ///< Preempted by other jobs or stopped by workers.
+  uint32_t LostRuns = 0;               ///< Runs whose worker was lost.
+  bool GivenUp = false;                ///< Abandoned because a task crashes its workers.
   uint32_t FailedRuns = 0;
 };
 
-/// All that was read. Add the lines of each process in their order, the processes in any.
+/// Job events of all logs read. Lines of one process must be added in order; processes may be added
+/// in any order.
 struct LogSummary {
-  std::map<std::string, JobTrace> Jobs; ///< By id.
-  uint64_t LinesSuppressed = 0;         ///< Held back by the limit of the log.
+  std::map<std::string, JobTrace> Jobs; ///< By job id.
+  uint64_t LinesSuppressed = 0;         ///< Suppressed by the log rate limit.
   WallTime Newest{};                    ///< Time of the newest line.
 };
 
-/// Notes a line of a log; lines that tell nothing of jobs are passed over.
+/// Adds a log line to \p Summary; lines without a job event are ignored.
 void readLogLine(LogSummary &Summary, std::string_view Line);
 
-/// Why the job counts for less than it could; empty if it was in time, was cancelled, or may still
-/// be.
+/// The cause of the job's loss as of \p Newest, the time of the newest line. Empty if the job met
+/// its objective, was cancelled, or may still meet its objective.
 std::string_view lossCause(const JobTrace &Job, WallTime Newest);
 
-/// Jobs of one queue that were lost for one cause.
+/// Number of jobs of one queue that were lost for one cause.
 struct LossCount {
   std::string Queue;
   std::string Cause;
   uint64_t Jobs = 0;
 };
-/// By queue, the largest number first.
+/// Sorted by queue, then by falling count.
 std::vector<LossCount> countLosses(const LogSummary &Summary);
 std::string lossTable(const LogSummary &Summary, const std::vector<LossCount> &Lines);
 std::string lossJson(const LogSummary &Summary, const std::vector<LossCount> &Lines);
--- a/src/losses/losses.cpp
+++ b/src/losses/losses.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Reading of log lines, and the one cause of each loss.
+// Parses log lines and determines the cause of each lost job.
 #include "valveshelf/losses.h"
 
 #include <boost/json.hpp>
@@ -10,10 +10,10 @@
 
 namespace valveshelf {
 namespace {
-// The first digits of a task's or step's name are its job's.
+// Names of tasks and steps begin with the id of their job.
 constexpr size_t IdDigits = 16;
 constexpr std::string_view EventPrefix = " VS-";
-// Phases as the end of a job names them.
+// Values of `phase` in job-ended.
 constexpr std::string_view FailedPhase = "2";
 constexpr std::string_view CancelledPhase = "3";
 
@@ -24,7 +24,7 @@
   return Value;
 }
 
-// 2026-09-28T10:55:48.226, which may stand behind other words.
+// Parses a time such as 2026-09-28T10:55:48.226, which other text may precede.
 std::optional<WallTime> parseTime(std::string_view Head) {
   constexpr size_t Length = 23;
   const size_t Mark = Head.find('T');
@@ -42,7 +42,7 @@
                   seconds(parseNumber(Text, 17, 2)) + Milliseconds(parseNumber(Text, 20, 3)));
 }
 
-// The name of the event and its values.
+// Event name and values, as views into the log line.
 struct EventLine {
   std::string_view Name;
   std::map<std::string_view, std::string_view> Values;
@@ -59,7 +59,7 @@
   }
 };
 
-// Words stand apart by one blank; a value in quotes may hold some.
+// Removes the first word from Rest. One blank separates words; quoted values may contain blanks.
 std::string_view takeWord(std::string_view &Rest) {
   size_t End = 0;
   bool Quoted = false;
@@ -72,7 +72,7 @@
 
 EventLine parseEvent(std::string_view Rest) {
   EventLine Read;
-  takeWord(Rest); // its number
+  takeWord(Rest); // the event number
   Read.Name = takeWord(Rest);
   while (!Rest.empty()) {
     const std::string_view Word = takeWord(Rest);
@@ -94,7 +94,7 @@
   } else if (Event.Name == "call-refused") {
     Job.Refused = Event.text("kind");
   } else if (Event.Name == "job-kept") {
-    Job.Refused.clear(); // its caller came again
+    Job.Refused.clear(); // the retry was accepted
   } else if (Event.Name == "advice-given") {
     keepEarliest(Job.FirstAdvice, At);
   } else if (Event.Name == "step-placed") {
@@ -139,7 +139,7 @@
   if (Job.Cancelled)
     return {};
   if (!Job.Accepted)
-    return Job.Refused; // empty: only what others say of it was kept back
+    return Job.Refused; // empty if the job's own log lines are missing
   if (Job.GivenUp)
     return "a task of it crashes its workers";
   if (Job.Failed)
@@ -186,7 +186,7 @@
   for (const LossCount &One : Lines)
     Text << One.Queue << "  " << One.Jobs << "  " << One.Cause << "\n";
   Text << Summary.Jobs.size() << " jobs seen, " << Summary.LinesSuppressed
-       << " lines held back by the log's limit\n";
+       << " lines suppressed by the log rate limit\n";
   return Text.str();
 }
 
--- a/src/losses/losses_test.cpp
+++ b/src/losses/losses_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// One cause a job, from lines as processes write them.
+// Guards against attributing a job's loss to the wrong cause, or counting jobs that are not losses.
 #include "valveshelf/losses.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 constexpr std::string_view Id = "8b6e4f1b4f0a3c11";
 
-// Lines of one job, each with its second within a minute.
+// Log lines of one job. Times are seconds within one minute, SS.mmm.
 struct Log {
   LogSummary Summary;
   Log &at(const std::string &Second, const std::string &Event) {
@@ -38,7 +38,8 @@
   EXPECT_EQ(Log().taken("01.000").advised("01.020").placed("01.030", "900").ended("01.900").cause(),
             "");
   EXPECT_EQ(Log().taken("01.000").placed("01.030", "900").ended("09.900", "3").cause(), "");
-  EXPECT_EQ(Log().taken("01.000").placed("01.030", "9000").cause(), "") << "it may still be";
+  EXPECT_EQ(Log().taken("01.000").placed("01.030", "9000").cause(), "")
+      << "its objective is later than the newest line";
 }
 
 TEST(Losses, EachLateOrFailedJobHasItsCause) {
@@ -96,7 +97,7 @@
   Given.taken("01.000").advised("01.020").placed("03.500", "500").ended("05.000");
   const auto Lines = countLosses(Given.Summary);
   EXPECT_EQ(lossTable(Given.Summary, Lines),
-            "q  1  waited for room\n1 jobs seen, 0 lines held back by the log's limit\n");
+            "q  1  waited for room\n1 jobs seen, 0 lines suppressed by the log rate limit\n");
   EXPECT_NE(lossJson(Given.Summary, Lines).find(R"("cause":"waited for room")"), std::string::npos);
 }
 
