--- a/src/burn/burn.cpp
+++ b/src/burn/burn.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Counting ends by minute, and what the counts say of the error budget.
+// Counts ended jobs by minute and computes the error budget burn rate from the counts.
 #include "valveshelf/burn.h"
 
 #include <boost/json.hpp>
@@ -11,7 +11,6 @@
 
 namespace {
 constexpr std::chrono::minutes ShortWindow{5};
-// The part of an hour's budget that is left counts from this window.
 constexpr std::array<Milliseconds, 2> Windows{Milliseconds(ShortWindow), BurnRetention};
 
 int64_t minuteOf(WallTime Time) {
@@ -90,7 +89,8 @@
     for (const json::value &Row : Rows.as_array()) {
       BurnCounts Counts;
       if (!readCounts(Row, Counts))
-        return malformedReport("queues." + std::string(Queue), "has a row that is not four counts");
+        return malformedReport("queues." + std::string(Queue),
+                               "has a row that is not four non-negative integers");
       Book.Queues[Queue][Row.as_array()[0].as_int64()] += Counts;
     }
   }
--- a/src/burn/burn_report.cpp
+++ b/src/burn/burn_report.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The burn report as a table, as JSON and as a page with plots.
+// Formats the error budget report as a text table, as JSON and as an HTML page with plots.
 #include "valveshelf/burn.h"
 
 #include <boost/json.hpp>
@@ -12,7 +12,7 @@
 namespace json = boost::json;
 
 namespace {
-// A drawPlot's height, and the width of a minute in it, in pixels.
+// Plot height and width of one minute, in pixels.
 constexpr int PlotHeight = 60;
 constexpr int MinuteWidth = 8;
 
@@ -20,7 +20,7 @@
   return std::chrono::duration_cast<std::chrono::minutes>(Window).count();
 }
 
-// The part of the window's budget that is not used up.
+// Remaining share of the window's error budget.
 double budgetLeft(const BurnLine &Line) { return std::max(0.0, 1 - Line.BurnRate); }
 
 std::string escaped(const std::string &Text) {
@@ -36,7 +36,7 @@
       << "\"/>";
 }
 
-// Jobs a minute, stacked by how they ended; the newest minute stands at the right.
+// Draws jobs per minute, stacked by outcome, with the newest minute at the right.
 void drawPlot(std::ostream &Out, const BurnBook::Minutes &Minutes, WallTime Now) {
   const int64_t Count = minutesOf(BurnRetention);
   const int64_t First =
--- a/src/burn/burn_test.cpp
+++ b/src/burn/burn_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Burn counts, their windows and the forms of the report.
+// Guards against wrong burn rates, unbounded counts, malformed reports and unescaped HTML.
 #include "valveshelf/burn.h"
 
 #include <gtest/gtest.h>
