--- a/src/valveshelf/client_commands.cpp
+++ b/src/valveshelf/client_commands.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The subcommands of callers and operators; each is one or two calls to an entry process.
+// Subcommands of callers and operators; each makes one or two calls to an entry process.
 #include "options.h"
 
 #include <boost/json.hpp>
@@ -27,7 +27,7 @@
 }
 
 int reportMissing(const Arguments &Args, const std::string &What) {
-  std::cerr << Args[0] << ": " << What << " is needed\n";
+  std::cerr << Args[0] << ": missing " << What << "\n";
   return ExitUsage;
 }
 
@@ -53,7 +53,8 @@
   }
 }
 
-// A job of `valveshelf serve`, explained: a line a step, and what leaves its workers out.
+// Prints the explanation of a `valveshelf serve` job, one line per step with the reasons
+// that exclude workers.
 void printSteps(const json::object &Job) {
   std::cout << std::string(Job.at("job").as_string())
             << " queue=" << std::string(Job.at("queue").as_string())
@@ -68,7 +69,7 @@
   }
 }
 
-// Prints a job's or a list's JSON for people.
+// Prints one job or a list of jobs as text.
 int printJobs(const Result<HttpResponse> &Answer, const std::string &Output) {
   if (Output == "json" || !ok(Answer) || value(Answer).Status >= 300)
     return printAnswer(Answer, Output);
@@ -130,7 +131,7 @@
   return ExitDone;
 }
 
-// The version of the partner's part now, from which the change starts unless told otherwise.
+// The current version of the partner's configuration, the default for --base; 0 if it has none.
 Result<std::string> currentBase(const std::string &Entry, const std::string &Partner) {
   const auto Answer = callEntry(Entry, {"GET", "/v1/config", {}, ""}, CallTimeout);
   if (!ok(Answer))
@@ -210,9 +211,10 @@
   Options.add_options()("partner", "whose part to change", cxxopts::value<std::string>());
   Options.add_options()("token", "the operator's token",
                         cxxopts::value<std::string>()->default_value(""));
-  Options.add_options()("base", "version of the part that the change starts from (default: now's)",
+  Options.add_options()("base",
+                        "version of the part that the change starts from (default: current)",
                         cxxopts::value<std::string>());
-  Options.add_options()("id", "id of the change, to ask for it or repeat it safely",
+  Options.add_options()("id", "id of the change, to query it or retry it safely",
                         cxxopts::value<std::string>());
   Options.parse_positional({"action", "file"});
   Options.positional_help("show | apply FILE");
--- a/src/valveshelf/commands.h
+++ b/src/valveshelf/commands.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The subcommands of the one binary. Each takes its own arguments and returns the exit code:
+// The subcommands of the valveshelf binary. Each parses its own arguments and returns an exit code:
 // 0 done, 1 refused or failed, 2 bad usage or bad settings, 3 outcome unknown.
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace valveshelf {
 
-/// Arguments of a subcommand; the first is the name to print in its help.
+/// Arguments of a subcommand; the first is the program name printed in its help.
 using Arguments = std::vector<std::string>;
 
 inline constexpr int ExitDone = 0;
--- a/src/valveshelf/entry_command.cpp
+++ b/src/valveshelf/entry_command.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// `valveshelf entry` and `valveshelf check-config`.
+// `valveshelf entry` and `valveshelf check-config`: run an entry process, validate its files.
 #include "options.h"
 
 #include "valveshelf/cell_config.h"
@@ -21,7 +21,7 @@
     std::cerr << toString(Problem) << "\n";
 }
 
-// The kind of a file follows from its tables: an entry file has [member].
+// Entry settings are told apart from partner configuration by their [member] or [listen] table.
 bool isEntryFile(const std::string &Text) {
   return Text.starts_with("[member]") || Text.find("\n[member]") != std::string::npos ||
          Text.find("\n[listen]") != std::string::npos;
@@ -93,7 +93,7 @@
   Io.run();
   for (std::thread &Thread : Pool)
     Thread.join();
-  // Coroutines that still wait refer to what is about to be destroyed; the process ends here.
+  // Exits without destructors: suspended coroutines refer to objects that would be destroyed.
   std::cout.flush();
   std::_Exit(Exit);
 }
@@ -110,7 +110,7 @@
   if (!Parsed)
     return Exit;
   if (!Parsed->count("config")) {
-    std::cerr << Args[0] << ": --config FILE is needed\n";
+    std::cerr << Args[0] << ": missing required option --config FILE\n";
     return ExitUsage;
   }
   const std::string Path = (*Parsed)["config"].as<std::string>();
@@ -139,7 +139,7 @@
   if (!Parsed)
     return Exit;
   if (!Parsed->count("files")) {
-    std::cerr << Args[0] << ": at least one FILE is needed\n";
+    std::cerr << Args[0] << ": missing FILE; expected at least one\n";
     return ExitUsage;
   }
   for (const std::string &Path : (*Parsed)["files"].as<std::vector<std::string>>())
--- a/src/valveshelf/main.cpp
+++ b/src/valveshelf/main.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The command line: chooses the subcommand.
+// Entry point of the valveshelf binary; dispatches to the subcommand.
 #include "commands.h"
 
 #include <array>
@@ -62,7 +62,7 @@
       Args[0] = "valveshelf " + Args[0];
       return C.Run(Args);
     }
-  std::cerr << "valveshelf: there is no command '" << Name << "'\n\n";
+  std::cerr << "valveshelf: unknown command '" << Name << "'\n\n";
   printHelp(std::cerr);
   return ExitUsage;
 }
--- a/src/valveshelf/options.cpp
+++ b/src/valveshelf/options.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Shared parts of the subcommands.
+// Helpers shared by the subcommands.
 #include "options.h"
 
 #include <boost/asio.hpp>
@@ -84,7 +84,7 @@
     return std::string(std::istreambuf_iterator<char>(std::cin), {});
   std::ifstream File(Path, std::ios::binary);
   if (!File)
-    return Error{ErrorKind::BadRequest, Path + ": can't be read"};
+    return Error{ErrorKind::BadRequest, Path + ": cannot open file"};
   return std::string(std::istreambuf_iterator<char>(File), {});
 }
 
--- a/src/valveshelf/options.h
+++ b/src/valveshelf/options.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// Option parsing that all subcommands share: help, errors, one call to an entry process.
+// Helpers shared by the subcommands: option parsing, HTTP calls to an entry process, file input.
 #pragma once
 
 #include "commands.h"
@@ -12,18 +12,19 @@
 
 namespace valveshelf {
 
-/// Parses \p Args with \p Options. On --help or an error it prints and sets \p Exit.
+/// Parses \p Args with \p Options. On --help or an error, prints the help or the error, sets \p
+/// Exit to the exit code and returns nullopt.
 std::optional<cxxopts::ParseResult> parseOptions(cxxopts::Options &Options, const Arguments &Args,
                                                  int &Exit);
 
-/// Makes one HTTP call and waits for it.
+/// Sends one HTTP request and blocks until it is answered or fails.
 Result<HttpResponse> callEntry(const std::string &Address, HttpRequest Request,
                                Milliseconds Timeout);
 
-/// Prints an answer: the body on success, the error otherwise. Returns the exit code.
+/// Prints the response body to stdout on success, else the error to stderr. Returns the exit code.
 int printAnswer(const Result<HttpResponse> &Answer, const std::string &Output);
 
-/// Reads a file, or standard input for "-". BadRequest if it can't.
+/// Reads a file, or standard input for "-". Returns BadRequest if the file can't be opened.
 Result<std::string> readFile(const std::string &Path);
 
 } // namespace valveshelf
--- a/src/valveshelf/report_command.cpp
+++ b/src/valveshelf/report_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// `valveshelf report`: the error budget of each queue and the messages sent, from the processes of
-// a cell; and why jobs were lost, from their logs.
+// `valveshelf report`: error budget and messages sent, fetched from the processes of a cell, and
+// causes of lost jobs, read from their logs.
 #include "options.h"
 
 #include "valveshelf/burn.h"
@@ -15,7 +15,8 @@
 constexpr Milliseconds CallTimeout{3000};
 constexpr int HttpOk = 200;
 
-// What the process at \p Address has counted. Empty, with a line on stderr, if it can't be had.
+// Fetches and decodes the counts of the process at Address. On failure, prints the error to
+// stderr and returns nullopt.
 template <class Book>
 std::optional<Book> fetchReport(const std::string &Address, const std::string &Page,
                                 Result<Book> (*Decode)(std::string_view)) {
@@ -39,7 +40,7 @@
   Out.close();
   if (Out)
     return ExitDone;
-  std::cerr << "valveshelf: " << File << ": can't be written\n";
+  std::cerr << "valveshelf: " << File << ": cannot write file\n";
   return ExitFailed;
 }
 
@@ -48,7 +49,7 @@
   for (const std::string &File : Files) {
     std::ifstream In(File);
     if (!In) {
-      std::cerr << "valveshelf: " << File << ": can't be read\n";
+      std::cerr << "valveshelf: " << File << ": cannot open file\n";
       return ExitFailed;
     }
     for (std::string Line; std::getline(In, Line);)
--- a/src/valveshelf/serve_command.cpp
+++ b/src/valveshelf/serve_command.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// `valveshelf serve`: an entry process of a cell on the users' platform.
+// `valveshelf serve`: runs an entry process of a cell on the users' platform.
 #include "options.h"
 
 #include "platform/codec.h"
@@ -18,9 +18,8 @@
 namespace asio = boost::asio;
 namespace {
 
-// So many times fewer idle connections are kept than the process may have descriptors. A quarter of
-// them made a scheduler of 1,100 workers, which holds a call on each and starts up to four tasks at
-// a time there, open 310 connections a second again.
+// Idle connections are limited to the descriptor limit divided by this. A lower limit makes the
+// scheduler of a large cell reopen connections for concurrent calls to its workers.
 constexpr size_t DescriptorsPerIdleConnection = 2;
 
 CellPlatform connect(HttpClient &Client, const CellSettings &Settings) {
@@ -49,7 +48,7 @@
   return Platform;
 }
 
-// A changed file is checked and reported; its addresses hold until the next start.
+// Validates the settings file on SIGHUP and logs the result; the running settings do not change.
 void checkChangedSettings(const std::string &Path) {
   Result<std::string> Text = readFile(Path);
   if (!ok(Text)) {
@@ -76,7 +75,7 @@
   asio::io_context Io(static_cast<int>(Settings.Threads));
   const auto Guard = asio::make_work_guard(Io);
   const unsigned Threads = Settings.Threads;
-  // With one thread the context itself is a strand, and a cheaper one.
+  // A single-threaded io_context serializes handlers without the cost of a strand.
   const bool OneThread = Threads == 1;
   TrafficMeter Meter{Clock{}};
   HttpClient Client(Io.get_executor(),
@@ -112,7 +111,7 @@
   Io.run();
   for (std::thread &Thread : Pool)
     Thread.join();
-  // Coroutines that still wait refer to what is about to be destroyed; the process ends here.
+  // Exits without destructors: suspended coroutines refer to objects that would be destroyed.
   std::cout.flush();
   std::_Exit(Exit);
 }
@@ -129,7 +128,7 @@
   if (!Parsed)
     return Exit;
   if (!Parsed->count("config")) {
-    std::cerr << Args[0] << ": --config FILE is needed\n";
+    std::cerr << Args[0] << ": missing required option --config FILE\n";
     return ExitUsage;
   }
   const std::string Path = (*Parsed)["config"].as<std::string>();
