--- a/src/include/valveshelf/losses.h
+++ b/src/include/valveshelf/losses.h
@@ -26,7 +26,7 @@
   std::string Refused;                 ///< Kind of the refusal; empty if there was none.
   bool Failed = false;                 ///< Ended as failed.
   bool Cancelled = false;              ///< Cancelled by its caller; never a loss.
-  uint32_t StoppedRuns = 0;            ///< Preempted by other jobs or stopped by workers.
+  uint32_t StoppedRuns = 0;            ///< Runs stopped by the scheduler, as by preemption.
   uint32_t LostRuns = 0;               ///< Runs whose worker was lost.
   bool GivenUp = false;                ///< Abandoned because a task crashes its workers.
   uint32_t FailedRuns = 0;
