--- a/src/valveshelf/entry_command.cpp
+++ b/src/valveshelf/entry_command.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// `valveshelf entry` and `valveshelf check-config`.
+// `valveshelf entry` and `valveshelf check-config`: run an entry process, validate its files.
 #include "options.h"
 
 #include "valveshelf/cell_config.h"
@@ -17,11 +17,11 @@
 namespace {
 
 void printErrors(const SettingsErrors &Errors) {
-  for (const SettingsError &Wrong : Errors)
-    std::cerr << toString(Wrong) << "\n";
+  for (const SettingsError &Problem : Errors)
+    std::cerr << toString(Problem) << "\n";
 }
 
-// The kind of a file follows from its tables: an entry file has [member].
+// Entry settings are told apart from partner configuration by their [member] or [listen] table.
 bool isEntryFile(const std::string &Text) {
   return Text.starts_with("[member]") || Text.find("\n[member]") != std::string::npos ||
          Text.find("\n[listen]") != std::string::npos;
@@ -40,16 +40,16 @@
                       "`serve` and a partner's configuration"});
   } else if (value(Text).find("\nreadiness") != std::string::npos) {
     auto Parsed = parseCellSettings(value(Text), Path);
-    if (auto *Wrong = std::get_if<SettingsErrors>(&Parsed))
-      Errors = *Wrong;
+    if (auto *Problem = std::get_if<SettingsErrors>(&Parsed))
+      Errors = *Problem;
   } else if (isEntryFile(value(Text))) {
     auto Parsed = parseEntrySettings(value(Text), Path);
-    if (auto *Wrong = std::get_if<SettingsErrors>(&Parsed))
-      Errors = *Wrong;
+    if (auto *Problem = std::get_if<SettingsErrors>(&Parsed))
+      Errors = *Problem;
   } else {
     auto Parsed = parsePartnerConfig(value(Text), Path);
-    if (auto *Wrong = std::get_if<SettingsErrors>(&Parsed))
-      Errors = *Wrong;
+    if (auto *Problem = std::get_if<SettingsErrors>(&Parsed))
+      Errors = *Problem;
   }
   printErrors(Errors);
   if (Errors.empty())
@@ -93,7 +93,7 @@
   Io.run();
   for (std::thread &Thread : Pool)
     Thread.join();
-  // Coroutines that still wait refer to what is about to be destroyed; the process ends here.
+  // Exits without destructors: suspended coroutines refer to objects that would be destroyed.
   std::cout.flush();
   std::_Exit(Exit);
 }
@@ -110,7 +110,7 @@
   if (!Parsed)
     return Exit;
   if (!Parsed->count("config")) {
-    std::cerr << Args[0] << ": --config FILE is needed\n";
+    std::cerr << Args[0] << ": missing required option --config FILE\n";
     return ExitUsage;
   }
   const std::string Path = (*Parsed)["config"].as<std::string>();
@@ -139,7 +139,7 @@
   if (!Parsed)
     return Exit;
   if (!Parsed->count("files")) {
-    std::cerr << Args[0] << ": at least one FILE is needed\n";
+    std::cerr << Args[0] << ": missing FILE; expected at least one\n";
     return ExitUsage;
   }
   for (const std::string &Path : (*Parsed)["files"].as<std::vector<std::string>>())
--- a/src/valveshelf/report_command.cpp
+++ b/src/valveshelf/report_command.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// `valveshelf report`: the error budget of each queue and the messages sent, from the processes of
-// a cell; and why jobs were lost, from their logs.
+// `valveshelf report`: error budget and messages sent, fetched from the processes of a cell, and
+// causes of lost jobs, read from their logs.
 #include "options.h"
 
 #include "valveshelf/burn.h"
@@ -15,10 +15,11 @@
 constexpr Milliseconds CallTimeout{3000};
 constexpr int HttpOk = 200;
 
-// What the process at \p Address has counted. Empty, with a line on stderr, if it can't be had.
+// Fetches and decodes the counts of the process at Address. On failure, prints the error to
+// stderr and returns nullopt.
 template <class Book>
-std::optional<Book> readBook(const std::string &Address, const std::string &Page,
-                             Result<Book> (*Decode)(std::string_view)) {
+std::optional<Book> fetchReport(const std::string &Address, const std::string &Page,
+                                Result<Book> (*Decode)(std::string_view)) {
   const Result<HttpResponse> Answer = callEntry(Address, {"GET", Page, {}, ""}, CallTimeout);
   Result<Book> Read = Error{};
   if (!ok(Answer))
@@ -39,30 +40,30 @@
   Out.close();
   if (Out)
     return ExitDone;
-  std::cerr << "valveshelf: " << File << ": can't be written\n";
+  std::cerr << "valveshelf: " << File << ": cannot write file\n";
   return ExitFailed;
 }
 
 int reportLosses(const std::vector<std::string> &Files, bool AsJson) {
-  LossBook Book;
+  LogSummary Summary;
   for (const std::string &File : Files) {
     std::ifstream In(File);
     if (!In) {
-      std::cerr << "valveshelf: " << File << ": can't be read\n";
+      std::cerr << "valveshelf: " << File << ": cannot open file\n";
       return ExitFailed;
     }
     for (std::string Line; std::getline(In, Line);)
-      readLogLine(Book, Line);
+      readLogLine(Summary, Line);
   }
-  const std::vector<LossLine> Lines = lossLines(Book);
-  std::cout << (AsJson ? lossJson(Book, Lines) : lossTable(Book, Lines));
+  const std::vector<LossCount> Lines = countLosses(Summary);
+  std::cout << (AsJson ? lossJson(Summary, Lines) : lossTable(Summary, Lines));
   return ExitDone;
 }
 
 int reportLoad(const std::vector<std::string> &Addresses, bool AsJson, const std::string &Page) {
   std::vector<ProcessTraffic> Cell;
   for (const std::string &Address : Addresses)
-    if (auto Read = readBook(Address, "/v1/load", decodeTraffic))
+    if (auto Read = fetchReport(Address, "/v1/load", decodeTraffic))
       Cell.push_back({Address, std::move(*Read)});
   std::cout << (AsJson ? trafficJson(Cell) : trafficTable(Cell));
   const int Exit = Page.empty() ? ExitDone : writePage(Page, trafficPage(Cell));
@@ -106,19 +107,19 @@
     return ExitUsage;
   }
   BurnBook Book;
-  bool Whole = true;
+  bool AllAnswered = true;
   for (const std::string &Address : (*Parsed)["entry"].as<std::vector<std::string>>())
-    if (const auto Read = readBook(Address, "/v1/burn", decodeBurn))
+    if (const auto Read = fetchReport(Address, "/v1/burn", decodeBurn))
       mergeBurn(Book, *Read);
     else
-      Whole = false;
+      AllAnswered = false;
   const WallTime Now =
       std::chrono::time_point_cast<WallTime::duration>(std::chrono::system_clock::now());
   const std::vector<BurnLine> Lines = burnLines(Book, Target, Now);
   std::cout << (Parsed->count("json") ? burnJson(Lines, Target) : burnTable(Lines, Target));
   if (!Html.empty())
     Exit = writePage(Html, burnPage(Book, Lines, Target, Now));
-  return Whole ? Exit : ExitFailed;
+  return AllAnswered ? Exit : ExitFailed;
 }
 
 } // namespace valveshelf
