--- a/src/cell/advice_lanes.cpp
+++ b/src/cell/advice_lanes.cpp
@@ -60,7 +60,7 @@
       continue;
     if (At->second.LastSucceeded)
       return At;
-    if (Best == Lanes.end() || At->second.FailuresInARow < Best->second.FailuresInARow)
+    if (Best == Lanes.end() || At->second.ConsecutiveFailures < Best->second.ConsecutiveFailures)
       Best = At;
   }
   return Best;
@@ -95,10 +95,10 @@
   Used.Busy = false;
   Used.LastSucceeded = ok(Answer);
   if (ok(Answer))
-    Used.FailuresInARow = 0;
+    Used.ConsecutiveFailures = 0;
   else
     Used.BackoffUntil =
-        Time.Now() + LaneBackoff * (1 << std::min(Used.FailuresInARow++, MaxBackoffDoublings));
+        Time.Now() + LaneBackoff * (1 << std::min(Used.ConsecutiveFailures++, MaxBackoffDoublings));
   if (!ok(Answer) && ++What.Tries < MaxTries && Lanes.size() > 1) {
     const QueueKey Place{What.Request.IsLate, What.Request.Priority, ++NextNumber};
     Queue.emplace(Place, std::move(What));
--- a/src/cell/advice_lanes.h
+++ b/src/cell/advice_lanes.h
@@ -38,7 +38,7 @@
   struct Lane {
     bool Busy = false;
     TimePoint BackoffUntil{};
-    int FailuresInARow = 0;
+    int ConsecutiveFailures = 0;
     bool LastSucceeded = false;
   };
   struct QueueKey {
--- a/src/cell/scheduler_heartbeats.cpp
+++ b/src/cell/scheduler_heartbeats.cpp
@@ -85,7 +85,7 @@
   Order.Fence = OwnClaim.Term;
   Order.ForgetThrough = Found->second.ForgetThrough;
   Order.Wait = Wait;
-  Order.Timeout = Deps.Settings.Timing.HoldTimeout;
+  Order.Timeout = Deps.Settings.Timing.HeartbeatTimeout;
   // The lease of an unresponsive worker is not renewed: a renewal that may or may not arrive would
   // postpone indefinitely the time at which its runs are known to have ended.
   if (HeartbeatStates.count(Id) && Found->second.IsResponsive) {
@@ -156,7 +156,7 @@
   const auto Known = HeartbeatStates.find(On.Info.Id);
   return Known != HeartbeatStates.end() && On.HasReported && isIdle(On) &&
          Known->second.ForgottenThrough >= On.LastEndNumber &&
-         Deps.Time.Now() - Known->second.LastBusyAt > Deps.Settings.Timing.HoldWait;
+         Deps.Time.Now() - Known->second.LastBusyAt > Deps.Settings.Timing.HeartbeatWait;
 }
 
 Awaitable<void> SchedulerRunner::heartbeatLoop(SelfPtr Self, std::string Id) {
@@ -181,7 +181,7 @@
     const bool Waits = !First && Last == HeartbeatOutcome::Answered &&
                        Found->second.UnsavedEnds.empty() &&
                        !Self->canSuspendHeartbeats(Found->second);
-    const Milliseconds Wait = Waits ? Self->Deps.Settings.Timing.HoldWait : Milliseconds(0);
+    const Milliseconds Wait = Waits ? Self->Deps.Settings.Timing.HeartbeatWait : Milliseconds(0);
     Last = co_await Self->sendHeartbeat(Id, Wait);
     if (Last == HeartbeatOutcome::Ended)
       break;
--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -33,22 +33,22 @@
                                  std::function<void()> OnEnd)
     : Deps(Deps), OwnClaim(OwnClaim), OnEnd(std::move(OnEnd)),
       Lanes(Deps.Where, Deps.Time, Deps.AskAdvice,
-            [this](const Effects::AdviceRequest &Question, const Result<Advice> &Answer,
+            [this](const Effects::AdviceRequest &Request, const Result<Advice> &Answer,
                    const std::string &Lane, Steady::duration Took) {
               this->Deps.Metrics.observe(metrics::AdviceSeconds, Took);
               logEvent(
                   events::AdviceGiven,
-                  {{"step", toString(Question.Step)},
+                  {{"step", toString(Request.Step)},
                    {"through", Lane},
-                   {"asked", std::to_string(Question.Workers.size())},
+                   {"asked", std::to_string(Request.Workers.size())},
                    {"good", ok(Answer) ? std::to_string(value(Answer).Eligible.size())
                                        : "\"" + error(Answer).Detail + "\""},
                    {"ms", std::to_string(std::chrono::duration_cast<Milliseconds>(Took).count())}});
               if (ok(Answer))
-                adviceAnswered(Cell, Question.Step, Question.Workers, value(Answer).Eligible,
+                adviceAnswered(Cell, Request.Step, Request.Workers, value(Answer).Eligible,
                                value(Answer).Valid, this->Deps.Time.Now());
               else
-                adviceFailed(Cell, Question.Step, this->Deps.Time.Now());
+                adviceFailed(Cell, Request.Step, this->Deps.Time.Now());
               schedulePlacement();
             }),
       SaveTimer(Deps.Where, TimePoint::max()), PlacementTimer(Deps.Where) {
@@ -315,8 +315,8 @@
     spawnLater(Deps.Where, sendStart(Self, std::move(Order)));
   for (Effects::Stop &Order : Out.Stops)
     spawnLater(Deps.Where, sendStop(Self, std::move(Order)));
-  for (Effects::AdviceRequest &Question : Out.AdviceRequests)
-    Lanes.add(std::move(Question));
+  for (Effects::AdviceRequest &Request : Out.AdviceRequests)
+    Lanes.add(std::move(Request));
   for (const std::string &Id : Out.ReportRequests)
     spawnLater(Deps.Where, sendHeartbeatNow(Self, Id));
   if (Out.SaveRequested)
--- a/src/config/cell_settings.cpp
+++ b/src/config/cell_settings.cpp
@@ -39,8 +39,8 @@
   Read.LeaderLease = Table.duration("leader_lease", Read.LeaderLease, 500ms, 1min);
   Read.MemberLease = Table.duration("member_lease", Read.MemberLease, 1s, 1min);
   Read.WorkerTimeout = Table.duration("worker_timeout", Read.WorkerTimeout, 20ms, 10s);
-  Read.HoldWait = Table.duration("hold_wait", Read.HoldWait, 50ms, 2s);
-  Read.HoldTimeout = Table.duration("hold_timeout", Read.HoldTimeout, 50ms, 10s);
+  Read.HeartbeatWait = Table.duration("hold_wait", Read.HeartbeatWait, 50ms, 2s);
+  Read.HeartbeatTimeout = Table.duration("hold_timeout", Read.HeartbeatTimeout, 50ms, 10s);
   Read.WorkerLease = Table.duration("worker_lease", Read.WorkerLease, 1s, 1min);
   Read.SaveDelay = Table.duration("gather", Read.SaveDelay, 0ms, 1s);
   Read.SubmitTimeout = Table.duration("submit_limit", Read.SubmitTimeout, 100ms, 1min);
--- a/src/include/valveshelf/cell_settings.h
+++ b/src/include/valveshelf/cell_settings.h
@@ -9,18 +9,18 @@
 
 /// Timeouts, leases and intervals.
 struct CellTiming {
-  Milliseconds WatchTime{1500};    ///< Maximum duration of one watch call; bounds how long a dead
-                                   ///< connection goes unnoticed.
-  Milliseconds LeaderLease{1500};  ///< Lifetime of the leader key without renewal.
-  Milliseconds MemberLease{4000};  ///< Lifetime of a member key without renewal.
-  Milliseconds WorkerTimeout{150}; ///< Of a call to a worker over an unloaded link; then retried.
-  Milliseconds HoldWait{1800};     ///< Maximum duration of a long poll for a worker's report.
-  Milliseconds HoldTimeout{400};   ///< Added to HoldWait. Must exceed LeaderLease / 4, for which a
-                                   ///< replaced scheduler may go on unaware.
-  Milliseconds WorkerLease{5000};  ///< Tasks keep running for this long without a scheduler.
-  Milliseconds SaveDelay{20};      ///< How long changes are collected before they are saved.
-  Milliseconds SubmitTimeout{800}; ///< A submission is accepted or refused within this time.
-  Milliseconds StopGrace{6000};    ///< From SIGTERM to SIGKILL.
+  Milliseconds WatchTime{1500};     ///< Maximum duration of one watch call; bounds how long a dead
+                                    ///< connection goes unnoticed.
+  Milliseconds LeaderLease{1500};   ///< Lifetime of the leader key without renewal.
+  Milliseconds MemberLease{4000};   ///< Lifetime of a member key without renewal.
+  Milliseconds WorkerTimeout{150};  ///< Of a call to a worker over an unloaded link; then retried.
+  Milliseconds HeartbeatWait{1800}; ///< Maximum duration of a long poll for a worker's report.
+  Milliseconds HeartbeatTimeout{400}; ///< Added to HeartbeatWait. Must exceed LeaderLease / 4, for
+                                      ///< which a replaced scheduler may go on unaware.
+  Milliseconds WorkerLease{5000};     ///< Tasks keep running for this long without a scheduler.
+  Milliseconds SaveDelay{20};         ///< How long changes are collected before they are saved.
+  Milliseconds SubmitTimeout{800};    ///< A submission is accepted or refused within this time.
+  Milliseconds StopGrace{6000};       ///< From SIGTERM to SIGKILL.
   /// Callers' keys are refused once the configuration has not been confirmed for this long. If
   /// empty, a process that reaches neither the store nor a peer keeps accepting the keys that it
   /// knows.
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -129,13 +129,14 @@
   /// for at that time listed it.
   TimePoint ConfirmedAt{};
   bool SurvivedStartup = false; ///< Its worker did not crash during the run's startup.
-  bool OnTrial = false; ///< No run may start beside it. Counted in `Worker::IsolatedStarts`.
+  /// No other run is started on its worker while this is set. Counted in `Worker::IsolatedStarts`.
+  bool IsIsolatedStart = false;
 };
 
 /// One incarnation of a worker and the attempts booked on it.
 /// Invariant: Booked is the sum of the needs of all attempts that are not Planned, Planned that of
 /// the others, Preemptible that of those that may be stopped; IsolatedStarts counts those
-/// `OnTrial`.
+/// `IsIsolatedStart`.
 struct Worker {
   WorkerInfo Info;
   uint32_t Slot = 0;          ///< Index into `CellState::Slots`; not reused within a term.
@@ -315,7 +316,7 @@
   std::map<std::string, std::string> UnreportedWorkers;
   /// By id. Invariant: a task is listed here exactly if it lists the worker in `SuspectWorkers` or
   /// `VanishedWorkers`.
-  std::map<std::string, SuspectWorker> Doubted;
+  std::map<std::string, SuspectWorker> SuspectWorkers;
   std::set<RunKey> OrphanedRuns; ///< Runs on workers whose job was not known when reported.
   bool Loaded = false;           ///< The store was read; nothing is placed before.
   uint64_t LastSave = 0;         ///< Number of the newest save.
@@ -426,11 +427,11 @@
   bool Done = false;
   std::vector<uint32_t> FailedRuns;
   std::string Checkpoint;
-  uint32_t Crashes = 0;
-  std::vector<std::string> Doubted;
-  std::vector<std::string> Vanished;
-  uint32_t Losses = 0;
-  std::string TrialOn;
+  uint32_t StartupCrashes = 0;
+  std::vector<std::string> SuspectWorkers;
+  std::vector<std::string> VanishedWorkers;
+  uint32_t WeightedCrashes = 0;
+  std::string PendingStartWorker;
 };
 /// Restores the tasks of a step of a job that was added.
 void restoreStep(CellState &Cell, const StepKey &Key, const std::vector<SavedTask> &Tasks);
--- a/src/records/cell_records.cpp
+++ b/src/records/cell_records.cpp
@@ -126,14 +126,15 @@
     SavedTask &Task = Tasks[Note.index()];
     Task.FailedRuns.assign(Note.failed_run().begin(), Note.failed_run().end());
     Task.Checkpoint = Note.checkpoint();
-    Task.Crashes = Note.crashes();
-    Task.Doubted.assign(Note.doubted().begin(), Note.doubted().end());
-    while (Task.Doubted.size() < Note.doubts())
-      Task.Doubted.push_back(unnamedWorker(Task.Doubted.size()));
-    Task.Vanished.assign(Note.vanished().begin(), Note.vanished().end());
+    Task.StartupCrashes = Note.crashes();
+    Task.SuspectWorkers.assign(Note.doubted().begin(), Note.doubted().end());
+    while (Task.SuspectWorkers.size() < Note.doubts())
+      Task.SuspectWorkers.push_back(unnamedWorker(Task.SuspectWorkers.size()));
+    Task.VanishedWorkers.assign(Note.vanished().begin(), Note.vanished().end());
     const bool IsUnnamed = Note.may_begin() && Note.trial_on().empty();
-    Task.TrialOn = IsUnnamed ? unnamedWorker(Task.Doubted.size()) : Note.trial_on();
-    Task.Losses = Note.losses();
+    Task.PendingStartWorker =
+        IsUnnamed ? unnamedWorker(Task.SuspectWorkers.size()) : Note.trial_on();
+    Task.WeightedCrashes = Note.losses();
   }
   std::vector<SavedTask> Read;
   for (auto &[Index, Task] : Tasks) {
--- a/src/scheduler/crash_count.cpp
+++ b/src/scheduler/crash_count.cpp
@@ -8,12 +8,12 @@
 namespace valveshelf::sched {
 namespace {
 void removeFromSuspectIndex(CellState &Cell, const TaskKey &Key, const std::string &Worker) {
-  const auto Found = Cell.Doubted.find(Worker);
-  if (Found == Cell.Doubted.end())
+  const auto Found = Cell.SuspectWorkers.find(Worker);
+  if (Found == Cell.SuspectWorkers.end())
     return;
   Found->second.Tasks.erase(Key);
   if (Found->second.Tasks.empty())
-    Cell.Doubted.erase(Found);
+    Cell.SuspectWorkers.erase(Found);
 }
 
 // Applies \p Change to a task that is not done, in a live job. \p Change returns the reason for the
@@ -64,7 +64,7 @@
 
 void indexSuspectWorker(CellState &Cell, const TaskKey &Key, const std::string &Worker,
                         TimePoint Now) {
-  SuspectWorker &Suspect = Cell.Doubted[Worker];
+  SuspectWorker &Suspect = Cell.SuspectWorkers[Worker];
   Suspect.LastSuspectedAt = std::max(Suspect.LastSuspectedAt, Now);
   Suspect.Tasks.insert(Key);
 }
--- a/src/scheduler/crash_count_test.cpp
+++ b/src/scheduler/crash_count_test.cpp
@@ -92,10 +92,13 @@
   Note.set_may_begin(true);
   const Result<SavedSteps> Read = decodeProgress(1, Record.SerializeAsString());
   const SavedTask &Task = value(Read).at(0).second.at(0);
-  EXPECT_EQ(Task.Crashes, 3u);
-  EXPECT_EQ(std::set<std::string>(Task.Doubted.begin(), Task.Doubted.end()).size(), 2u);
-  EXPECT_FALSE(Task.TrialOn.empty());
-  EXPECT_EQ(std::count(Task.Doubted.begin(), Task.Doubted.end(), Task.TrialOn), 0);
+  EXPECT_EQ(Task.StartupCrashes, 3u);
+  EXPECT_EQ(std::set<std::string>(Task.SuspectWorkers.begin(), Task.SuspectWorkers.end()).size(),
+            2u);
+  EXPECT_FALSE(Task.PendingStartWorker.empty());
+  EXPECT_EQ(
+      std::count(Task.SuspectWorkers.begin(), Task.SuspectWorkers.end(), Task.PendingStartWorker),
+      0);
 }
 
 // A worker that leaves the list without notice counts as crashed unless it answers again.
--- a/src/scheduler/crashes.cpp
+++ b/src/scheduler/crashes.cpp
@@ -150,8 +150,8 @@
   if (Step->Spec->Gang && Entry.Percent == 0)
     return;
   Entry.SurvivedStartup = true;
-  On.IsolatedStarts -= Entry.OnTrial ? 1 : 0;
-  Entry.OnTrial = false;
+  On.IsolatedStarts -= Entry.IsIsolatedStart ? 1 : 0;
+  Entry.IsIsolatedStart = false;
   clearCrashCount(Cell, Run.Task, Out);
 }
 
@@ -182,8 +182,8 @@
     return;
   On.HasUncountedSilence = false;
   On.SilentSince = {};
-  const auto Found = Cell.Doubted.find(On.Info.Id);
-  if (Found == Cell.Doubted.end() || AsOf < Found->second.LastSuspectedAt)
+  const auto Found = Cell.SuspectWorkers.find(On.Info.Id);
+  if (Found == Cell.SuspectWorkers.end() || AsOf < Found->second.LastSuspectedAt)
     return;
   for (const TaskKey &Key : std::set(Found->second.Tasks))
     retractCrash(Cell, Key, On.Info.Id, Out);
--- a/src/scheduler/jobs.cpp
+++ b/src/scheduler/jobs.cpp
@@ -220,18 +220,18 @@
       --Step->OpenTasks;
     }
     Task.Checkpoint = Saved.Checkpoint;
-    Task.StartupCrashes = Saved.Crashes;
-    Task.SuspectWorkers = Saved.Doubted;
-    Task.VanishedWorkers = Saved.Vanished;
-    Task.InheritedStartWorker = Saved.TrialOn;
-    if (!Saved.TrialOn.empty()) {
+    Task.StartupCrashes = Saved.StartupCrashes;
+    Task.SuspectWorkers = Saved.SuspectWorkers;
+    Task.VanishedWorkers = Saved.VanishedWorkers;
+    Task.InheritedStartWorker = Saved.PendingStartWorker;
+    if (!Saved.PendingStartWorker.empty()) {
       ++Task.StartupCrashes;
-      Task.SuspectWorkers.push_back(Saved.TrialOn);
+      Task.SuspectWorkers.push_back(Saved.PendingStartWorker);
     }
     for (const auto *Workers : {&Task.SuspectWorkers, &Task.VanishedWorkers})
       for (const std::string &Worker : *Workers)
         indexSuspectWorker(Cell, {Key, Saved.Index}, Worker, Cell.WallAt);
-    Task.WeightedCrashes = Saved.Losses;
+    Task.WeightedCrashes = Saved.WeightedCrashes;
     (Step->Spec->Gang ? Step->GangFailures : Task.FailedRuns)
         .insert(Saved.FailedRuns.begin(), Saved.FailedRuns.end());
   }
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -96,13 +96,14 @@
     Attempt &A = W->Attempts.at(Run);
     if (A.Phase != AttemptPhase::Planned)
       continue;
-    const bool Usable = A.OnTrial ? isEligible(Pass, *W, J, Step) : isUsable(Pass, *W, J, Step);
+    const bool Usable =
+        A.IsIsolatedStart ? isEligible(Pass, *W, J, Step) : isUsable(Pass, *W, J, Step);
     if (!Usable || Pass.Now - A.PhaseSince > Pass.Cell.Limits.PlanTimeout)
       dropPlanned(Pass.Cell, *W, Run, Pass.Out);
     else if (!hasTicket(Pass, J, Step, *W))
       NoTicket.push_back(W->Info.Id);
     else if (fits(A.Need, W->Info.Capacity - W->Booked) &&
-             (!A.OnTrial ||
+             (!A.IsIsolatedStart ||
               (hasNoOtherStartups(*W, &Run) && mayStartNow(Pass.Cell, Run.Task, *W, Pass.Out))))
       orderStart(Pass, J, Step, I, *W, A);
   }
--- a/src/scheduler/workers.cpp
+++ b/src/scheduler/workers.cpp
@@ -254,8 +254,8 @@
   Cell.UrgentAttempts += Made.IsUrgent ? 1 : 0;
   Made.Objective = Of.Objective;
   Made.Estimate = Step.Spec->Estimate;
-  Made.OnTrial = needsIsolatedStart(Step, Task);
-  On.IsolatedStarts += Made.OnTrial ? 1 : 0;
+  Made.IsIsolatedStart = needsIsolatedStart(Step, Task);
+  On.IsolatedStarts += Made.IsIsolatedStart ? 1 : 0;
   Made.IsPreemptible = Step.Spec->Checkpointable && !Step.Spec->Gang && !Step.Spec->LongRunning;
   Made.Phase = Phase;
   Made.PhaseSince = Now;
@@ -288,7 +288,7 @@
   if (Found->second.IsPreemptible)
     On.Preemptible -= Found->second.Need;
   Cell.UrgentAttempts -= Found->second.IsUrgent ? 1 : 0;
-  On.IsolatedStarts -= Found->second.OnTrial ? 1 : 0;
+  On.IsolatedStarts -= Found->second.IsIsolatedStart ? 1 : 0;
   if (Found->second.Owner)
     Found->second.Owner->Usage -= Found->second.Charge;
   On.Attempts.erase(Found);
