--- a/src/cell/scheduler_runner_test.cpp
+++ b/src/cell/scheduler_runner_test.cpp
@@ -116,7 +116,7 @@
   Awaitable<Result<WorkerReport>> heartbeat(HeartbeatRequest Order) {
     FakeWorker &To = Workers.at(Order.To.Id);
     if (To.IsReplaced)
-      co_return Error{ErrorKind::NotFound, "another life"};
+      co_return Error{ErrorKind::NotFound, "another incarnation"};
     if (To.LosesLongPolls && Order.Wait.count() > 0) {
       co_await sleepFor(Order.Wait + Order.Timeout);
       co_return Error{ErrorKind::UpstreamCut, "no answer"};
--- a/src/include/valveshelf/cell_state.h
+++ b/src/include/valveshelf/cell_state.h
@@ -78,7 +78,7 @@
   uint32_t MaxUnconfirmedCrashes = 4;
   /// The same, with an inherited start counted (`TaskState::InheritedStartWorker`).
   uint32_t MaxCrashesWithInherited = 5;
-  /// It is given up at this `TaskState::WeightedCrashes` unless its step is lasting.
+  /// It is given up at this `TaskState::WeightedCrashes` unless its step is long-running.
   uint32_t MaxWeightedCrashes = 5;
   Milliseconds StartupTime{500}; ///< A run is in startup for this time after its start.
 };
--- a/src/scheduler/crashes_test.cpp
+++ b/src/scheduler/crashes_test.cpp
@@ -8,8 +8,8 @@
 namespace {
 using namespace std::chrono_literals;
 
-// Guards against a task that crashes worker after worker while its job lives, because runs that are
-// lost with their worker are treated like expired leases.
+// Guards against a task that crashes worker after worker without its job being failed, because runs
+// that are lost with their worker are treated like expired leases.
 TEST(Crashes, ATaskThatCrashesItsWorkersIsGivenUp) {
   CrashScene Given(48);
   const JobId CrashingJob = Given.submit(tasks(1, 4000, 600ms));
@@ -315,11 +315,11 @@
   EXPECT_EQ(Given.taskOf(Id).StartupCrashes, 1u);
 }
 
-TEST(Crashes, ALastingTaskIsNotGivenUpForCrashesFarApart) {
+TEST(Crashes, ALongRunningTaskIsNotGivenUpForCrashesFarApart) {
   CrashScene Given(12);
-  StepSpec Lasts = tasks(1, 4000, 0ms);
-  Lasts.LongRunning = true;
-  const JobId Id = Given.submit(Lasts);
+  StepSpec LongRunningStep = tasks(1, 4000, 0ms);
+  LongRunningStep.LongRunning = true;
+  const JobId Id = Given.submit(LongRunningStep);
   for (int I = 0; I < 8; ++I) {
     ASSERT_TRUE(Given.advanceUntilRuns(Id));
     Given.advance(2s);
--- a/src/scheduler/evacuation_test.cpp
+++ b/src/scheduler/evacuation_test.cpp
@@ -123,14 +123,14 @@
   EXPECT_TRUE(WorkInZone(tasks(1, 20000, 8s, false)).pass().Stops.empty());
 }
 
-TEST(Evacuation, ALastingTaskIsStoppedOnlyWhenThereIsRoomElsewhere) {
-  StepSpec Lasting = tasks(1, 20000, 500ms);
-  Lasting.LongRunning = true;
-  WorkInZone Given(Lasting);
+TEST(Evacuation, ALongRunningTaskIsStoppedOnlyWhenThereIsRoomElsewhere) {
+  StepSpec LongRunningStep = tasks(1, 20000, 500ms);
+  LongRunningStep.LongRunning = true;
+  WorkInZone Given(LongRunningStep);
   const Effects Moved = Given.pass();
   ASSERT_EQ(Moved.Stops.size(), 1u);
   EXPECT_EQ(Moved.Stops.front().Why, "its availability zone is being evacuated");
-  WorkInZone Alone(Lasting);
+  WorkInZone Alone(LongRunningStep);
   Effects Out;
   workerEnded(Alone.Cell, "b1", Alone.Now, Out);
   EXPECT_TRUE(Alone.pass().Stops.empty()) << "stopped without room elsewhere";
--- a/src/scheduler/leaving.cpp
+++ b/src/scheduler/leaving.cpp
@@ -13,10 +13,10 @@
 // expired during an outage of the store return within two seconds of its end.
 constexpr Milliseconds UnlistedGraceTime{2500};
 
-// A lasting task serves once it reports this progress.
+// A long-running task serves once it reports this progress.
 constexpr int ServingPercent = 100;
 
-// Number of tasks of a lasting step that are not serving.
+// Number of tasks of a long-running step that are not serving.
 uint32_t countNotServing(const StepState &Step) {
   uint32_t NotServing = 0;
   for (uint32_t I = 0; I < Step.Tasks.size(); ++I) {
@@ -77,9 +77,9 @@
 }
 } // namespace
 
-// Stops a run on a leaving worker as soon as there is room elsewhere. Otherwise a lasting task
-// would be down until the worker's lease expires, and a takeover would hold back all earlier work
-// of the service for as long.
+// Stops a run on a leaving worker as soon as there is room elsewhere. Otherwise a long-running
+// task would be down until the worker's lease expires, and a takeover would hold back all earlier
+// work of the service for as long.
 void migrateFromLeavingWorkers(PlacementPass &In) {
   if (In.Now < In.Cell.NextLeaveScan)
     return;
--- a/src/scheduler/scheduler_fuzz_test.cpp
+++ b/src/scheduler/scheduler_fuzz_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 // Randomized simulation of the scheduler's decisions under faults: lost, late and unanswered calls,
-// workers that die or are cut off, lost saves, takeovers with the old scheduler still active and,
+// workers that crash or are cut off, lost saves, takeovers with the old scheduler still active and,
 // depending on the scenario, tasks that crash their workers, changes of capacity, and evacuations
 // of zones. Every start is checked against the simulation's own records. VALVESHELF_FUZZ_EVENTS and
 // VALVESHELF_FUZZ_SEED set length and first seed; VALVESHELF_FUZZ_TRACE=JOB prints the starts,
@@ -271,8 +271,8 @@
     });
   }
 
-  // The worker dies, is unlisted and then replaced. The draws come from a generator of their own,
-  // so that other scenarios keep their sequences.
+  // The worker crashes, is unlisted and then replaced. The draws come from a generator of their
+  // own, so that other scenarios keep their sequences.
   void crashBox(Box &Which, const TaskKey &By) {
     const auto Draw = [this](int64_t Least, int64_t Most) {
       return Milliseconds(std::uniform_int_distribution<int64_t>(Least, Most)(ScenarioRandom));
