--- a/src/config/cell_settings.cpp
+++ b/src/config/cell_settings.cpp
@@ -39,8 +39,8 @@
   Settings.LeaderLease = Table.duration("leader_lease", Settings.LeaderLease, 500ms, 1min);
   Settings.MemberLease = Table.duration("member_lease", Settings.MemberLease, 1s, 1min);
   Settings.WorkerTimeout = Table.duration("worker_timeout", Settings.WorkerTimeout, 20ms, 10s);
-  Settings.HoldWait = Table.duration("hold_wait", Settings.HoldWait, 50ms, 2s);
-  Settings.HoldTimeout = Table.duration("hold_timeout", Settings.HoldTimeout, 50ms, 10s);
+  Settings.HeartbeatWait = Table.duration("hold_wait", Settings.HeartbeatWait, 50ms, 2s);
+  Settings.HeartbeatTimeout = Table.duration("hold_timeout", Settings.HeartbeatTimeout, 50ms, 10s);
   Settings.WorkerLease = Table.duration("worker_lease", Settings.WorkerLease, 1s, 1min);
   Settings.SaveDelay = Table.duration("gather", Settings.SaveDelay, 0ms, 1s);
   Settings.SubmitTimeout = Table.duration("submit_limit", Settings.SubmitTimeout, 100ms, 1min);
