--- a/src/records/cell_records.cpp
+++ b/src/records/cell_records.cpp
@@ -132,7 +132,8 @@
       Task.SuspectWorkers.push_back(placeholderWorkerId(Task.SuspectWorkers.size()));
     Task.VanishedWorkers.assign(Note.vanished().begin(), Note.vanished().end());
     const bool IsUnnamed = Note.may_begin() && Note.trial_on().empty();
-    Task.PendingStartWorker = IsUnnamed ? placeholderWorkerId(Task.SuspectWorkers.size()) : Note.trial_on();
+    Task.PendingStartWorker =
+        IsUnnamed ? placeholderWorkerId(Task.SuspectWorkers.size()) : Note.trial_on();
     Task.WeightedCrashes = Note.losses();
   }
   std::vector<SavedTask> Decoded;
