--- a/src/cell/scheduler_runner.cpp
+++ b/src/cell/scheduler_runner.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The process around the scheduler's decisions: loading, watching, workers and orders.
+// Loading a term's state, watching submitted jobs, and performing the scheduler's effects.
 #include "cell/scheduler_runner.h"
 
 #include "valveshelf/events.h"
@@ -16,15 +16,15 @@
 
 namespace {
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-// Time outs are looked for this often.
 constexpr Milliseconds TickInterval{50};
-// Events that come together are placed together. A pass that took long, because much waits, is
-// followed by a pause of so many times its length, which leaves the processor to orders and ends.
+// Placement is delayed so that simultaneous events share a pass, and by this multiple of the last
+// pass's duration, which leaves the processor free for worker calls.
 constexpr Milliseconds PlacementDelay{2};
 constexpr int PlacementPauseFactor = 4;
-// Between two watches of what callers handed in. An announcement that is lost costs this time.
+// Pause between two watches of submitted jobs; bounds the delay of a job whose announcement was
+// lost.
 constexpr Milliseconds IntakeWatchPause{250};
-// Run numbers of one term; no task starts so often in one.
+// Run numbers reserved for one term; exceeds the runs of any task in a term.
 constexpr uint32_t RunsPerTerm = 1000;
 
 } // namespace
@@ -33,22 +33,22 @@
                                  std::function<void()> OnEnd)
     : Deps(Deps), OwnClaim(OwnClaim), OnEnd(std::move(OnEnd)),
       Lanes(Deps.Where, Deps.Time, Deps.AskAdvice,
-            [this](const Effects::AdviceRequest &Question, const Result<Advice> &Answer,
+            [this](const Effects::AdviceRequest &Request, const Result<Advice> &Answer,
                    const std::string &Lane, Steady::duration Took) {
               this->Deps.Metrics.observe(metrics::AdviceSeconds, Took);
               logEvent(
                   events::AdviceGiven,
-                  {{"step", toString(Question.Step)},
+                  {{"step", toString(Request.Step)},
                    {"through", Lane},
-                   {"asked", std::to_string(Question.Workers.size())},
+                   {"asked", std::to_string(Request.Workers.size())},
                    {"good", ok(Answer) ? std::to_string(value(Answer).Eligible.size())
                                        : "\"" + error(Answer).Detail + "\""},
                    {"ms", std::to_string(std::chrono::duration_cast<Milliseconds>(Took).count())}});
               if (ok(Answer))
-                adviceAnswered(Cell, Question.Step, Question.Workers, value(Answer).Eligible,
+                adviceAnswered(Cell, Request.Step, Request.Workers, value(Answer).Eligible,
                                value(Answer).Valid, this->Deps.Time.Now());
               else
-                adviceFailed(Cell, Question.Step, this->Deps.Time.Now());
+                adviceFailed(Cell, Request.Step, this->Deps.Time.Now());
               schedulePlacement();
             }),
       SaveTimer(Deps.Where, TimePoint::max()), PlacementTimer(Deps.Where) {
@@ -118,7 +118,7 @@
     if (Item.Key.starts_with(JobPrefix))
       applyIntakeItem(Item, false);
   for (const KeyValue &Item : Runs.Items) {
-    const auto Id = jobOfKey(Item.Key, ProgressPrefix);
+    const auto Id = jobIdFromKey(Item.Key, ProgressPrefix);
     const auto Found = Id ? Cell.Jobs.find(*Id) : Cell.Jobs.end();
     if (Found == Cell.Jobs.end())
       continue;
@@ -134,7 +134,7 @@
   Effects Out;
   finishLoading(Cell, Now, Out);
   for (const KeyValue &Item : Intake.Items)
-    if (const auto Id = jobOfKey(Item.Key, CancelPrefix))
+    if (const auto Id = jobIdFromKey(Item.Key, CancelPrefix))
       cancelJob(Cell, *Id, Now, Out);
   executeEffects(Out);
 }
@@ -145,11 +145,11 @@
   for (const KeyValue &Item : Runs.Items) {
     if (!Item.Key.starts_with(WorkerRecordPrefix))
       continue;
-    const std::string Id = lastPart(Item.Key, WorkerRecordPrefix);
+    const std::string Id = keySuffix(Item.Key, WorkerRecordPrefix);
     Result<WorkerInfo> Info = decodeWorkerRecord(Id, Item.Value);
     if (!ok(Info)) {
       logEvent(events::RecordUnreadable,
-               {{"key", Item.Key}}); // it stays: somebody else may read it
+               {{"key", Item.Key}}); // kept: another version may be able to read it
       continue;
     }
     WorkerRecords[Id] = Item.Revision;
@@ -159,9 +159,9 @@
 
 Awaitable<Result<Done>> SchedulerRunner::load() {
   const TimePoint Begun = Deps.Time.Now();
-  // All at a time: nothing is started before the last of them, and a slow store takes a quarter of
-  // a second for each. Nobody else writes runs any more, since those writes ask for this claim. The
-  // zones are read in each term, as what this process heard last may be older than the claim.
+  // Read in parallel, since no task starts before all reads have completed. Run records can't
+  // change meanwhile: writing them is conditional on this claim. Zones are read again because those
+  // known to this process may be older than the claim.
   using namespace asio::experimental::awaitable_operators;
   const auto [Listed, Runs, Intake, Evacuated] =
       co_await (Deps.Store.Range(Deps.WorkerPrefix, false) &&
@@ -175,7 +175,7 @@
     co_return Done{};
   EvacuatedZones Zones{{}, value(Evacuated).Revision};
   for (const KeyValue &Item : value(Evacuated).Items)
-    Zones.Names.insert(lastPart(Item.Key, Deps.EvacuationPrefix));
+    Zones.Names.insert(keySuffix(Item.Key, Deps.EvacuationPrefix));
   setEvacuatedZones(std::move(Zones));
   loadWorkers(value(Listed), value(Runs));
   loadJobs(value(Intake), value(Runs));
@@ -202,14 +202,14 @@
 void SchedulerRunner::applyIntakeItem(const KeyValue &Item, bool Fresh) {
   const TimePoint Now = Deps.Time.Now();
   Effects Out;
-  if (const auto Cancelled = jobOfKey(Item.Key, CancelPrefix)) {
+  if (const auto Cancelled = jobIdFromKey(Item.Key, CancelPrefix)) {
     if (Cell.EndedJobs.count(*Cancelled))
       StaleCancels.insert(*Cancelled);
     cancelJob(Cell, *Cancelled, Now, Out);
     executeEffects(Out);
     return;
   }
-  const auto Id = jobOfKey(Item.Key, JobPrefix);
+  const auto Id = jobIdFromKey(Item.Key, JobPrefix);
   if (!Id)
     return;
   Result<StoredJob> Stored = decodeJob(Item.Value);
@@ -220,7 +220,7 @@
   StoredJob &Read = value(Stored);
   if (Read.Phase != JobPhase::Live) {
     if (Cell.Jobs.count(*Id) || Cell.EndedJobs.count(*Id))
-      return; // our own writing
+      return; // written by this scheduler
     Cell.EndedJobs[*Id] = {Read.Phase, Item.Revision, Read.EndedAt, Read.Spec.Organisation};
     Cell.EndedByAge.emplace_back(Read.EndedAt, *Id);
     return;
@@ -279,14 +279,14 @@
           Self->applyIntakeItem(Change.Item, true);
       From = std::max(From, value(Read).Revision);
       Self->schedulePlacement();
-      // Jobs are announced as well; news is gathered so that a busy hour costs few calls.
+      // Jobs are also announced; the pause batches changes to limit the number of calls.
       if (!value(Read).Changes.empty() && !mayBeTruncated(value(Read)))
         co_await sleepFor(IntakeWatchPause);
       continue;
     }
     if (error(Read).Kind != ErrorKind::NotFound) {
       co_await sleepFor(RetryPause);
-      continue; // the next one goes on from where this one would have
+      continue; // the next watch starts at the same revision
     }
     Result<uint64_t> Again = co_await Self->rereadIntake();
     if (ok(Again))
@@ -306,17 +306,17 @@
   if (Stopped)
     return;
   if (wasSuspended())
-    return endTerm("this process stood still");
+    return endTerm("this process was suspended for longer than the leader lease");
   if (Out.Deposed)
-    return endTerm("a worker has heard a newer scheduler");
+    return endTerm("a worker has seen a newer scheduler's fencing token");
   reportEffects(Out);
   const SelfPtr Self = shared_from_this();
   for (Effects::Start &Order : Out.Starts)
     spawnLater(Deps.Where, sendStart(Self, std::move(Order)));
   for (Effects::Stop &Order : Out.Stops)
     spawnLater(Deps.Where, sendStop(Self, std::move(Order)));
-  for (Effects::AdviceRequest &Question : Out.AdviceRequests)
-    Lanes.add(std::move(Question));
+  for (Effects::AdviceRequest &Request : Out.AdviceRequests)
+    Lanes.add(std::move(Request));
   for (const std::string &Id : Out.ReportRequests)
     spawnLater(Deps.Where, sendHeartbeatNow(Self, Id));
   if (Out.SaveRequested)
@@ -326,7 +326,7 @@
   Out = {};
 }
 
-// The decisions that touch jobs, for the log and the figures.
+// Writes the effects that concern jobs to the log and the metrics.
 void SchedulerRunner::reportEffects(const Effects &Out) {
   const TimePoint Now = Deps.Time.Now();
   const auto Millis = [](Steady::duration Time) {
@@ -404,7 +404,7 @@
     if (Self->Stopped)
       co_return;
     if (Self->wasSuspended())
-      co_return Self->endTerm("this process stood still");
+      co_return Self->endTerm("this process was suspended for longer than the leader lease");
     Self->LastTick = Self->Deps.Time.Now();
     Self->Deps.Metrics.set(metrics::Jobs, static_cast<double>(Self->Cell.Jobs.size()));
     Self->Deps.Metrics.set(metrics::Waiting, static_cast<double>(Self->Cell.Queue.size()));
--- a/src/entry/shard_runner.cpp
+++ b/src/entry/shard_runner.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The loops of an owned shard: ticks, worker calls, the box list, the predecessor's end, and
-// the effects of decisions once their records are durable.
+// The loops of an owned shard: ticks, worker polling, the box list and probing of the predecessor;
+// and the execution of decisions once their records are durable.
 #include "valveshelf/shard_runner.h"
 
 #include "valveshelf/events.h"
@@ -12,26 +12,26 @@
 namespace valveshelf {
 namespace asio = boost::asio;
 namespace {
-// Ticks come with events; without any, often enough for what only time brings.
-constexpr Milliseconds TickAtLeastEvery{200};
-// Events that come close together share a tick.
-constexpr Milliseconds TickAtMostEvery{5};
-constexpr Milliseconds SlowTickEvery{250};
-constexpr Milliseconds BoxLookEvery{500};
-constexpr std::chrono::minutes ForgetEvery{1};
+// Ticks are triggered by events; this bounds the delay of time-based decisions without any.
+constexpr Milliseconds MaxTickInterval{200};
+// Events that arrive within this interval share a tick.
+constexpr Milliseconds MinTickInterval{5};
+constexpr Milliseconds SlowTickInterval{250};
+constexpr Milliseconds BoxSyncInterval{500};
+constexpr std::chrono::minutes ForgetInterval{1};
 constexpr Milliseconds WorkerRetryPause{250};
-constexpr Milliseconds DoubtWait{200};
-constexpr Milliseconds PredecessorProbeEvery{300};
+constexpr Milliseconds UncertainStartPollWait{200};
+constexpr Milliseconds PredecessorProbeInterval{300};
 } // namespace
 
-// The effects of one decision, carried out at most once each.
+// A decision whose records are being made durable. Each effect is carried out at most once.
 struct ShardRunner::PendingDecision {
   Self Owner;
   Decision What;
   DurableCallback Also;
   std::mutex Mutex;
-  bool StartsSent = false; ///< Those of repeatable tasks. Guarded by Mutex.
-  bool RestDone = false;   ///< Guarded by Mutex.
+  bool StartsSent = false;       ///< Of repeatable tasks. Guarded by Mutex.
+  bool OtherEffectsSent = false; ///< Guarded by Mutex.
 };
 
 ShardRunner::ShardRunner(uint32_t Shard, uint64_t Epoch, ShardTools Tools)
@@ -78,7 +78,7 @@
     HandedOver = true;
     Written = snapshotOf(State);
   }
-  // What was decided before is durable and carried out here before the shard goes.
+  // Earlier decisions are durable and executed here before the shard is handed over.
   co_await Tools.Log.barrier();
   co_return Written;
 }
@@ -95,7 +95,7 @@
              {{"shard", Number}, {"subject", What.Subject}, {"detail", "\"" + What.Detail + "\""}});
 }
 
-// Called under Mutex, so that records reach the journal in the order they were applied.
+// Call under Mutex, so that records reach the journal in the order in which they were applied.
 void ShardRunner::execute(Decision What, DurableCallback Also) {
   if (!mayModifyState()) {
     if (Also)
@@ -106,7 +106,7 @@
                        What.Forgets.empty() && What.Lends.empty() && What.Cancels.empty();
   if (Nothing && !Also)
     return logNotices(What.Notices);
-  // Nearly everything that changes the state gives the next tick something to do.
+  // Most state changes give the next tick work to do.
   if (!What.Records.empty() || !What.Notices.empty())
     requestTick();
   StartsInFlight += static_cast<int>(What.Starts.size());
@@ -128,18 +128,18 @@
     return;
   }
   std::vector<StartEffect> Starts;
-  bool DoRest = false;
+  bool SendOtherEffects = false;
   {
     std::lock_guard Lock(Done->Mutex);
-    // Without the store, only what may be repeated is started.
+    // Until the records are stored, only repeatable tasks are started.
     for (const StartEffect &Start : Done->What.Starts) {
       const bool Early = Start.Spec->Repeatable;
       if (Early ? !Done->StartsSent : Value == Durability::Stored)
         Starts.push_back(Start);
     }
     Done->StartsSent = true;
-    DoRest = !Done->RestDone;
-    Done->RestDone = true;
+    SendOtherEffects = !Done->OtherEffectsSent;
+    Done->OtherEffectsSent = true;
   }
   for (StartEffect &Start : Starts)
     spawnLater(Tools.Where, sendStart(shared_from_this(), std::move(Start)));
@@ -147,7 +147,7 @@
     Done->Also(Value);
   if (Value == Durability::Stored)
     queueForgets(Done->What.Forgets);
-  if (!DoRest)
+  if (!SendOtherEffects)
     return;
   for (const ControlEffect &Control : Done->What.Controls)
     spawnLater(Tools.Where, sendControl(shared_from_this(), Control));
@@ -158,11 +158,11 @@
   logNotices(Done->What.Notices);
 }
 
-// Lets workers forget ended tasks, once the store has their ends.
+// Lets workers forget ended tasks. Call once the store has recorded that they ended.
 void ShardRunner::queueForgets(const std::vector<ForgetEffect> &Ended) {
   if (Ended.empty())
     return;
-  // A decision without records comes here under Mutex, one with records does not.
+  // Posted, because the caller holds Mutex if the decision has no records.
   asio::post(Tools.Where, [This = shared_from_this(), Ended] {
     std::lock_guard Lock(This->Mutex);
     for (const ForgetEffect &Effect : Ended)
@@ -173,12 +173,12 @@
 Awaitable<void> ShardRunner::sendStart(Self This, StartEffect Effect) {
   const ShardTools &Tools = This->Tools;
   StartAnswer Answer = StartAnswer::NotSent;
-  // The last look before the bytes leave. A pause right here cannot be excluded; the intent is
-  // journalled, so a successor keeps the room booked until there is proof.
+  // Last check before sending. The process can still be paused right after it; the intent is
+  // journalled, so a successor keeps the capacity booked until the outcome is proven.
   if (This->mayAct())
     Answer = co_await Tools.Workers.Start(Effect.Address, workerTaskId(Effect.Key, Effect.Attempt),
                                           Effect.Spec, Tools.Times.TaskLease);
-  // Counted until its answer is part of the state: a drain waits for it.
+  // Counted until the answer is applied to the state, because a drain waits for it.
   std::lock_guard Lock(This->Mutex);
   --This->StartsInFlight;
   if (!This->mayModifyState())
@@ -220,8 +220,7 @@
   if (!ok(Reply) || !value(Reply).adopted())
     co_return;
   std::lock_guard Lock(This->Mutex);
-  if (This->mayModifyState()) // otherwise it is lent again, which the other shard takes for the
-                              // same
+  if (This->mayModifyState()) // otherwise it is lent again, which is idempotent
     onAdopted(This->State, Effect);
 }
 
@@ -238,7 +237,7 @@
     co_await This->Tools.Peers.Cancel(To, std::move(Request));
 }
 
-// Tells home shards what became of their tasks. Only what is durable is told.
+// Reports the status of tasks to their home shards, after it has become durable.
 Awaitable<void> ShardRunner::sendReports(Self This) {
   std::map<uint32_t, wire::ReportRequest> Due;
   {
@@ -248,7 +247,7 @@
   }
   Durability Told = Durability::Lost;
   if (!Due.empty())
-    Told = co_await This->Tools.Log.softBarrier();
+    Told = co_await This->Tools.Log.witnessedBarrier();
   if (Told != Durability::Lost) {
     for (auto &[Home, Request] : Due) {
       const Endpoint To = This->ownerOf(Home);
@@ -276,7 +275,7 @@
   This->enterStage(ReportStage::None);
 }
 
-// Called under Mutex.
+// Call under Mutex.
 void ShardRunner::enterStage(ReportStage Next) {
   Stage = Next;
   StageSince = Tools.Time.Now();
@@ -289,14 +288,14 @@
   if (!mayAct())
     return;
   std::lock_guard Lock(Mutex);
-  // Read under the lock: a drain counts on no start being decided after its own look.
+  // Checked under the lock, so that no start is decided after a drain has captured the state.
   if (Draining || !mayModifyState())
     return;
   const auto Elsewhere = [&](const std::string &Key) {
     return Tools.Directory.usedElsewhere(Key, Shard);
   };
   execute(placeQueued(State, *Config, Tools.Log.storeUp(), Elsewhere, Tools.Limits, Now, Wall));
-  const bool Slow = Now - LastSlowTick >= SlowTickEvery;
+  const bool Slow = Now - LastSlowTick >= SlowTickInterval;
   ResendReports = ResendReports || Slow;
   if (Stage == ReportStage::None && (Slow || !State.Dirty.empty())) {
     enterStage(ReportStage::Journal);
@@ -315,7 +314,7 @@
   if (!Slow)
     return;
   LastSlowTick = Now;
-  if (Now - LastForget >= ForgetEvery) {
+  if (Now - LastForget >= ForgetInterval) {
     LastForget = Now;
     execute(forgetEndedJobs(State, Tools.Limits, Now, Wall));
   }
@@ -328,7 +327,7 @@
   execute(std::move(Cancels));
 }
 
-// Asks for a tick soon.
+// Requests a tick without waiting for MaxTickInterval. Thread-safe.
 void ShardRunner::requestTick() {
   if (TickRequested.exchange(true))
     return;
@@ -339,11 +338,11 @@
   while (!This->Stopped) {
     This->TickRequested = false;
     This->tick();
-    co_await sleepFor(TickAtMostEvery);
+    co_await sleepFor(MinTickInterval);
     if (This->TickRequested)
       continue;
     co_await asio::post(This->TickTimer.get_executor(), asio::use_awaitable);
-    This->TickTimer.expires_after(This->TickRequested ? Milliseconds(0) : TickAtLeastEvery);
+    This->TickTimer.expires_after(This->TickRequested ? Milliseconds(0) : MaxTickInterval);
     co_await This->TickTimer.async_wait(asio::as_tuple(asio::use_awaitable));
   }
 }
@@ -354,17 +353,17 @@
   if (!mayAct() || !mayModifyState())
     return;
   execute(onBoxList(State, Workers, Tools.Time.Now(), Tools.Time.Wall()));
-  for (const auto &[Name, Book] : State.Workers)
-    if (Book->Health != WorkerHealth::Gone && PolledWorkers.insert(Name).second)
+  for (const auto &[Name, Current] : State.Workers)
+    if (Current->Health != WorkerHealth::Gone && PolledWorkers.insert(Name).second)
       spawnLater(Tools.Where, workerLoop(shared_from_this(), Name));
 }
 
 Awaitable<void> ShardRunner::boxLoop(Self This) {
   while (!This->Stopped) {
-    // An empty list is taken for one that was not read yet.
+    // An empty list is treated as one that was not read yet.
     if (!This->Tools.Directory.boxes()->empty())
       This->syncBoxes();
-    co_await sleepFor(BoxLookEvery);
+    co_await sleepFor(BoxSyncInterval);
   }
 }
 
@@ -372,22 +371,22 @@
   WorkerSync Sync;
   const bool MayAct = mayAct();
   std::lock_guard Lock(Mutex);
-  const WorkerState &Book = *State.Workers.at(Worker);
-  // After a call that was not answered, the next renews nothing; see onWorkerSilent.
-  const bool Renew = MayAct && Book.FailedCalls == 0;
+  const WorkerState &Current = *State.Workers.at(Worker);
+  // After a failed call, the next one does not renew leases; see onWorkerCallFailed.
+  const bool Renew = MayAct && Current.FailedCalls == 0;
   Sync.Wait = Tools.Times.WorkerPoll;
   Sync.After = ListVersions[Worker];
   Sync.Forget = std::exchange(PendingForgets[Worker], {});
   if (Renew)
     Sync.RenewFor = Tools.Times.TaskLease;
-  for (const TaskKey &Key : Book.AssignedTasks) {
+  for (const TaskKey &Key : Current.AssignedTasks) {
     const AssignedTask &Task = State.AssignedTasks.at(Key);
     if (Renew)
       Sync.Renew.push_back(workerTaskId(Key, Task.Attempt));
     if (Task.Uncertainty != StartUncertainty::None)
-      Sync.Wait = std::min(Sync.Wait, DoubtWait);
+      Sync.Wait = std::min(Sync.Wait, UncertainStartPollWait);
   }
-  if (Book.Health != WorkerHealth::Ready || Book.FailedCalls > 0)
+  if (Current.Health != WorkerHealth::Ready || Current.FailedCalls > 0)
     Sync.Wait = Milliseconds(0);
   return Sync;
 }
@@ -405,7 +404,7 @@
       return;
     return execute(onWorkerCallFailed(State, Worker, Sent.RenewFor.count() > 0, Tools.Limits));
   }
-  // A process that lost its authority meanwhile, or slept, judges nothing by an old list.
+  // Ignore a stale report if the process has lost its authority or was paused during the call.
   if (!MayAct || !mayModifyState() || Now - AskedAt > Tools.Times.Lease + Tools.Times.WorkerPoll)
     return;
   ListVersions[Worker] = value(Answer).Version;
@@ -419,12 +418,12 @@
     Endpoint Address;
     {
       std::lock_guard Lock(This->Mutex);
-      const WorkerState &Book = *This->State.Workers.at(Worker);
-      if (Book.Health == WorkerHealth::Gone) {
+      const WorkerState &Current = *This->State.Workers.at(Worker);
+      if (Current.Health == WorkerHealth::Gone) {
         This->PolledWorkers.erase(Worker);
         co_return;
       }
-      Address = Book.Box.Address;
+      Address = Current.Box.Address;
     }
     const TimePoint AskedAt = This->Tools.Time.Now();
     Result<WorkerReport> Answer = co_await This->Tools.Workers.Sync(Address, Sync);
@@ -445,8 +444,8 @@
   return true;
 }
 
-// Asks the predecessor's address until it is sure that the predecessor sends nothing any more:
-// it says so itself, a newer process answers there, or nothing listens there.
+// Polls the predecessor's address until it is certain that the predecessor sends nothing more: it
+// confirms that itself, a newer process answers at the address, or the connection is refused.
 Awaitable<void> ShardRunner::predecessorLoop(Self This) {
   while (!This->Stopped) {
     bool Gone =
@@ -460,7 +459,7 @@
     }
     if (Gone && This->markPredecessorGone())
       co_return;
-    co_await sleepFor(PredecessorProbeEvery);
+    co_await sleepFor(PredecessorProbeInterval);
   }
 }
 
@@ -473,13 +472,14 @@
   Resources Free;
   Resources Largest;
   uint32_t Usable = 0;
-  for (const PlacementCandidate &Room : State.Candidates) {
-    if (!Room.Usable)
+  for (const PlacementCandidate &Candidate : State.Candidates) {
+    if (!Candidate.Usable)
       continue;
     ++Usable;
-    Free += Room.Free;
-    if (Room.Free.MilliCores >= Largest.MilliCores && Room.Free.MemoryMb >= Largest.MemoryMb)
-      Largest = Room.Free;
+    Free += Candidate.Free;
+    if (Candidate.Free.MilliCores >= Largest.MilliCores &&
+        Candidate.Free.MemoryMb >= Largest.MemoryMb)
+      Largest = Candidate.Free;
   }
   Summary.set_workers(Usable);
   *Summary.mutable_free() = resourcesToWire(Free);
@@ -494,25 +494,25 @@
 
 ShardStats ShardRunner::stats() {
   std::lock_guard Lock(Mutex);
-  ShardStats Figures;
-  Figures.Starts = State.Starts;
-  Figures.Jobs = State.Jobs.size();
-  Figures.AssignedTasks = State.AssignedTasks.size();
-  Figures.Queued = State.Queue.size();
-  Figures.Workers = State.Workers.size();
+  ShardStats Stats;
+  Stats.Starts = State.Starts;
+  Stats.Jobs = State.Jobs.size();
+  Stats.AssignedTasks = State.AssignedTasks.size();
+  Stats.Queued = State.Queue.size();
+  Stats.Workers = State.Workers.size();
   for (const auto &[Key, Task] : State.AssignedTasks) {
-    Figures.Running += Task.Phase == AssignedPhase::Running ? 1 : 0;
+    Stats.Running += Task.Phase == AssignedPhase::Running ? 1 : 0;
     const bool Over = Task.Phase == AssignedPhase::Ended || Task.Phase == AssignedPhase::Returned;
-    Figures.Unreported += Over ? 1 : 0;
+    Stats.Unreported += Over ? 1 : 0;
   }
-  Figures.StartsInFlight = StartsInFlight;
-  Figures.Draining = Draining;
-  Figures.Stage = Stage;
+  Stats.StartsInFlight = StartsInFlight;
+  Stats.Draining = Draining;
+  Stats.Stage = Stage;
   if (Stage != ReportStage::None)
-    Figures.TimeInStage = std::chrono::duration_cast<Milliseconds>(Tools.Time.Now() - StageSince);
-  for (const auto &[Name, Book] : State.Workers)
-    Figures.WorkersReady += Book->Health == WorkerHealth::Ready ? 1 : 0;
-  return Figures;
+    Stats.TimeInStage = std::chrono::duration_cast<Milliseconds>(Tools.Time.Now() - StageSince);
+  for (const auto &[Name, Current] : State.Workers)
+    Stats.WorkersReady += Current->Health == WorkerHealth::Ready ? 1 : 0;
+  return Stats;
 }
 
 } // namespace valveshelf
--- a/src/entry/shard_runner_test.cpp
+++ b/src/entry/shard_runner_test.cpp
@@ -1,11 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// A shard that is handed over: nothing is confirmed that its next owner does not hear of.
-//
-// What happened: a process that stops wrote its shard down for the next owner and went on taking
-// reports for some 50 ms, until the owner's record was written. The end of a job's last task came
-// in that time. It was acknowledged, so that nobody told it again, and the job stayed active for
-// ever: "1 of 80 jobs accepted and active". Its log has task-ended and job-ended of the job 60 ms
-// after the next owner had claimed the shard.
+// Hand-over of a shard. Guards against acknowledging a report, cancel or resize after the state for
+// the next owner was captured: the change would be lost, and the job could stay active forever.
 #include "fakes/fake_store.h"
 #include "valveshelf/coroutines.h"
 #include "valveshelf/shard_runner.h"
@@ -20,9 +15,9 @@
 
 constexpr uint32_t Shard = 2;
 
-class HandOver : public ::testing::Test {
+class ShardHandOver : public ::testing::Test {
 protected:
-  HandOver()
+  ShardHandOver()
       : Budget(100000, 100000),
         Log(Io.get_executor(), "owner.1", Store.ops(), Clock{}, {}, Budget,
             [](std::vector<wire::JournalEntry>) -> Awaitable<bool> { co_return true; }),
@@ -54,7 +49,7 @@
             [] { return std::make_shared<const CellConfig>(); }};
   }
 
-  // Runs the operation to its end.
+  // Runs the operation to completion; throws if it takes longer than 2 s.
   template <class T> T wait(Awaitable<T> Operation) {
     std::optional<T> Answer;
     asio::co_spawn(Io, std::move(Operation),
@@ -73,7 +68,7 @@
     return wait(Runner->onReportReceived(Report)).recorded();
   }
 
-  bool isCancelTaken() {
+  bool isCancelAccepted() {
     wire::CancelRequest Request;
     Request.add_key()->set_job("job-69");
     return wait(Runner->onCancel(Request)).done();
@@ -89,30 +84,30 @@
   std::shared_ptr<ShardRunner> Runner;
 };
 
-TEST_F(HandOver, NothingIsConfirmedOnceTheStateIsWrittenDown) {
+TEST_F(ShardHandOver, DrainedShardRejectsChanges) {
   ASSERT_FALSE(wait(Runner->drain()).empty());
   EXPECT_FALSE(isReportRecorded());
-  EXPECT_FALSE(isCancelTaken());
+  EXPECT_FALSE(isCancelAccepted());
   EXPECT_FALSE(ok(wait(Runner->resize("job-69", 5))));
   const Result<std::string> Cancelled = wait(Runner->cancel("job-69"));
   ASSERT_FALSE(ok(Cancelled));
   EXPECT_EQ(error(Cancelled).Kind, ErrorKind::NotOwner);
 }
 
-TEST_F(HandOver, AShardThatIsKeptAfterAllGoesOn) {
+TEST_F(ShardHandOver, ResumedShardAcceptsChanges) {
   wait(Runner->drain());
   Runner->resume();
   EXPECT_TRUE(isReportRecorded());
-  EXPECT_TRUE(isCancelTaken());
+  EXPECT_TRUE(isCancelAccepted());
   EXPECT_TRUE(ok(wait(Runner->resize("job-69", 5))));
   EXPECT_TRUE(ok(wait(Runner->cancel("job-69"))));
 }
 
-TEST_F(HandOver, NothingIsConfirmedAfterTheShardHasGone) {
+TEST_F(ShardHandOver, StoppedShardRejectsChanges) {
   wait(Runner->drain());
   Runner->stop();
   EXPECT_FALSE(isReportRecorded());
-  EXPECT_FALSE(isCancelTaken());
+  EXPECT_FALSE(isCancelAccepted());
 }
 
 } // namespace
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// The HTTP client: kept connections, whole calls and streamed calls.
+// The HTTP client: a pool of idle connections, complete calls (`send`) and streamed calls (`open`).
 #include "valveshelf/http.h"
 #include "valveshelf/steady_timer.h"
 #include "valveshelf/traffic.h"
@@ -23,36 +23,36 @@
 namespace {
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
 constexpr size_t MaxIdlePerEndpoint = 16;
-// New connections are dear on both sides; one that the other side closed is noticed before use.
+// Idle connections are checked for a close by the server before they are reused.
 constexpr std::chrono::seconds MaxIdleTime{60};
 
-// A connection that was used so recently is not looked at before it is used again.
-constexpr Milliseconds FreshTime{20};
-// Room for a usual answer, so that it is read at once.
-constexpr size_t UsualAnswer = 4096;
+// A connection that has been idle for less than this is reused without that check.
+constexpr Milliseconds MaxUncheckedIdleTime{20};
+// Large enough for one read to take a typical response.
+constexpr size_t ReadBufferBytes = 4096;
 
 struct Connection {
-  Connection(Executor Where, Endpoint To) : Stream(std::move(Where)), To(std::move(To)) {
-    Buffer.reserve(UsualAnswer);
+  Connection(Executor Exec, Endpoint To) : Stream(std::move(Exec)), To(std::move(To)) {
+    Buffer.reserve(ReadBufferBytes);
   }
   beast::tcp_stream Stream;
   beast::flat_buffer Buffer;
   const Endpoint To;
   TimePoint IdleSince{};
-  /// Counts the calls made on it, so that a deadline of one can't end the next.
+  /// Number of the latest call, so that the deadline of an earlier one can't cancel it.
   uint64_t Call = 0;
   bool InCall = false;
-  bool TimedOut = false; ///< The call under way was given up at its deadline.
+  bool TimedOut = false; ///< The current call was canceled at its deadline.
 
-  // False if the other side has closed it, or has sent what nobody asked for.
-  bool isQuiet() {
+  // False if the server has closed the connection or sent data that belongs to no request.
+  bool isOpenAndQuiet() {
     boost::system::error_code Failure;
     char Byte = 0;
     Stream.socket().receive(asio::buffer(&Byte, 1), asio::socket_base::message_peek, Failure);
     return Failure == asio::error::would_block && Buffer.size() == 0;
   }
 
-  // Discards what the kernel has not sent yet, so that nothing arrives later.
+  // Resets the connection and discards unsent data, so that the server doesn't receive it later.
   void abort() {
     boost::system::error_code Ignored;
     Stream.socket().set_option(asio::socket_base::linger(true, 0), Ignored);
@@ -67,70 +67,70 @@
   }
 };
 
-// Ends calls at their deadlines by one timer for all of them, instead of one for each write and
-// read (exchange below has the figure for both).
+// Cancels calls at their deadlines. One timer serves all calls, instead of one for each read and
+// write. Thread safe.
 class Deadlines : public std::enable_shared_from_this<Deadlines> {
 public:
-  explicit Deadlines(const Executor &Where) : Timer(Where) {}
+  explicit Deadlines(const Executor &Exec) : Timer(Exec) {}
 
-  using Place = std::pair<TimePoint, uint64_t>;
+  using EntryKey = std::pair<TimePoint, uint64_t>;
   struct Entry {
-    ConnectionPtr Used;
+    ConnectionPtr Conn;
     uint64_t Call;
-    Executor Where; ///< On which the call runs.
+    Executor Exec; ///< Executor that the call runs on.
   };
 
-  Place add(TimePoint At, Entry What) {
+  EntryKey add(TimePoint At, Entry What) {
     std::lock_guard Lock(Mutex);
-    const Place Mine{At, ++LastNumber};
-    Waiting.emplace(Mine, std::move(What));
+    const EntryKey OwnKey{At, ++LastNumber};
+    Pending.emplace(OwnKey, std::move(What));
     if (At < Armed)
       arm(At);
-    return Mine;
+    return OwnKey;
   }
 
-  void remove(const Place &Mine) {
+  void remove(const EntryKey &OwnKey) {
     std::lock_guard Lock(Mutex);
-    Waiting.erase(Mine);
-    if (!Waiting.empty() || Armed == TimePoint::max())
+    Pending.erase(OwnKey);
+    if (!Pending.empty() || Armed == TimePoint::max())
       return;
-    Armed = TimePoint::max(); // nothing holds up an executor that would end
+    Armed = TimePoint::max(); // A pending timer would keep the executor running.
     Timer.cancel();
   }
 
 private:
-  // Called under Mutex. A timer that fires for a call which is over finds nothing to end.
+  // Requires Mutex. The timer may fire after its call has completed; it then cancels nothing.
   void arm(TimePoint At) {
     Armed = At;
     Timer.expires_at(At);
     Timer.async_wait([Me = weak_from_this()](boost::system::error_code Failure) {
       const auto Here = Me.lock();
       if (!Failure && Here)
-        Here->endDue();
+        Here->cancelExpired();
     });
   }
 
-  void endDue() {
+  void cancelExpired() {
     std::lock_guard Lock(Mutex);
     const TimePoint Now = Steady::now();
-    while (!Waiting.empty() && Waiting.begin()->first.first <= Now) {
-      asio::post(Waiting.begin()->second.Where, [What = Waiting.begin()->second] {
-        if (!What.Used->InCall || What.Used->Call != What.Call)
+    while (!Pending.empty() && Pending.begin()->first.first <= Now) {
+      asio::post(Pending.begin()->second.Exec, [What = Pending.begin()->second] {
+        if (!What.Conn->InCall || What.Conn->Call != What.Call)
           return;
-        What.Used->TimedOut = true;
+        What.Conn->TimedOut = true;
         boost::system::error_code Ignored;
-        What.Used->Stream.socket().cancel(Ignored);
+        What.Conn->Stream.socket().cancel(Ignored);
       });
-      Waiting.erase(Waiting.begin());
+      Pending.erase(Pending.begin());
     }
-    if (Waiting.empty())
+    if (Pending.empty())
       Armed = TimePoint::max();
     else
-      arm(Waiting.begin()->first.first);
+      arm(Pending.begin()->first.first);
   }
 
   std::mutex Mutex;
-  std::map<Place, Entry> Waiting;     ///< Guarded by Mutex.
+  std::map<EntryKey, Entry> Pending;  ///< Guarded by Mutex.
   uint64_t LastNumber = 0;            ///< Guarded by Mutex.
   TimePoint Armed = TimePoint::max(); ///< When Timer fires; max: never. Guarded by Mutex.
   SteadyTimer Timer;                  ///< Guarded by Mutex.
@@ -138,54 +138,55 @@
 } // namespace
 
 class HttpClient::Impl : public std::enable_shared_from_this<HttpClient::Impl> {
-  using AgeList = std::list<ConnectionPtr>;
+  using IdleList = std::list<ConnectionPtr>;
 
 public:
-  Impl(Executor Where, HttpClientLimits Limits, TrafficMeter *Meter)
-      : Where(Where), Limits(Limits), Meter(Meter), Ending(std::make_shared<Deadlines>(Where)) {}
+  Impl(Executor Exec, HttpClientLimits Limits, TrafficMeter *Meter)
+      : Exec(Exec), Limits(Limits), Meter(Meter), CallDeadlines(std::make_shared<Deadlines>(Exec)) {
+  }
 
   ConnectionPtr takeIdle(const Endpoint &To) {
     std::lock_guard Lock(Mutex);
     const auto Found = Idle.find(To);
     if (Found == Idle.end())
       return nullptr;
-    auto &Kept = Found->second;
-    while (!Kept.empty()) {
-      ConnectionPtr Last = *Kept.back();
-      ByAge.erase(Kept.back());
-      Kept.pop_back();
+    auto &IdleConns = Found->second;
+    while (!IdleConns.empty()) {
+      ConnectionPtr Last = *IdleConns.back();
+      IdleByAge.erase(IdleConns.back());
+      IdleConns.pop_back();
       const auto IdleFor = Steady::now() - Last->IdleSince;
-      if (IdleFor < FreshTime || (IdleFor < MaxIdleTime && Last->isQuiet()))
+      if (IdleFor < MaxUncheckedIdleTime || (IdleFor < MaxIdleTime && Last->isOpenAndQuiet()))
         return Last;
     }
     return nullptr;
   }
 
-  void keep(ConnectionPtr Used) {
+  void returnIdle(ConnectionPtr Conn) {
     std::lock_guard Lock(Mutex);
-    auto &Kept = Idle[Used->To];
-    if (Kept.size() >= MaxIdlePerEndpoint) {
-      ByAge.erase(Kept.front());
-      Kept.erase(Kept.begin());
+    auto &IdleConns = Idle[Conn->To];
+    if (IdleConns.size() >= MaxIdlePerEndpoint) {
+      IdleByAge.erase(IdleConns.front());
+      IdleConns.erase(IdleConns.begin());
     }
-    Used->IdleSince = Steady::now();
-    Kept.push_back(ByAge.insert(ByAge.end(), std::move(Used)));
-    if (ByAge.size() > Limits.MaxIdle)
-      closeOldest();
+    Conn->IdleSince = Steady::now();
+    IdleConns.push_back(IdleByAge.insert(IdleByAge.end(), std::move(Conn)));
+    if (IdleByAge.size() > Limits.MaxIdle)
+      closeIdleLongest();
   }
 
-  // Closes what is idle towards an address that did not answer on a kept connection, and has been
-  // since the call began. Connections may go silent for good without a reset while new ones work;
-  // each of up to sixteen kept ones would otherwise cost a call its whole time.
-  void forget(const Endpoint &To, TimePoint Before) {
+  // Closes the connections to an endpoint that have been idle since before the given time. Called
+  // after a timeout on a reused connection: after a network fault the others may be dead as well
+  // without a reset, and each would cost one more call its timeout.
+  void closeIdleBefore(const Endpoint &To, TimePoint Before) {
     std::lock_guard Lock(Mutex);
     const auto Found = Idle.find(To);
     if (Found == Idle.end())
       return;
-    std::erase_if(Found->second, [&](const AgeList::iterator &Kept) {
-      const bool IsOld = (*Kept)->IdleSince < Before;
+    std::erase_if(Found->second, [&](const IdleList::iterator &Entry) {
+      const bool IsOld = (*Entry)->IdleSince < Before;
       if (IsOld)
-        ByAge.erase(Kept);
+        IdleByAge.erase(Entry);
       return IsOld;
     });
     if (Found->second.empty())
@@ -193,58 +194,59 @@
   }
 
   Awaitable<Result<ConnectionPtr>> connect(Endpoint To, Milliseconds Timeout) {
-    auto Made =
-        std::make_shared<Connection>(Limits.OneThread ? Where : asio::make_strand(Where), To);
+    auto NewConn =
+        std::make_shared<Connection>(Limits.OneThread ? Exec : asio::make_strand(Exec), To);
     boost::system::error_code Bad;
     const tcp::endpoint Target(asio::ip::make_address(To.Host, Bad), To.Port);
-    Made->Stream.expires_after(Timeout);
-    auto [Failure] = co_await Made->Stream.async_connect(Target, AsTuple);
+    NewConn->Stream.expires_after(Timeout);
+    auto [Failure] = co_await NewConn->Stream.async_connect(Target, AsTuple);
     if (Failure) {
       const bool Refused = Failure == asio::error::connection_refused;
       co_return Error{ErrorKind::UpstreamUnavailable,
                       (Refused ? "connection refused by " : "no connection to ") + toString(To)};
     }
-    Made->Stream.expires_never();
-    Made->Stream.socket().set_option(tcp::no_delay(true));
-    Made->Stream.socket().non_blocking(true, Bad);
-    co_return Made;
+    NewConn->Stream.expires_never();
+    NewConn->Stream.socket().set_option(tcp::no_delay(true));
+    NewConn->Stream.socket().non_blocking(true, Bad);
+    co_return NewConn;
   }
 
-  const Executor Where;
+  const Executor Exec;
   const HttpClientLimits Limits;
-  TrafficMeter *const Meter; ///< Or null.
-  const std::shared_ptr<Deadlines> Ending;
+  TrafficMeter *const Meter; ///< May be null.
+  const std::shared_ptr<Deadlines> CallDeadlines;
 
 private:
-  // Called under Mutex. Within an endpoint the first is idle longest.
-  void closeOldest() {
-    const auto Kept = Idle.find(ByAge.front()->To);
-    ByAge.pop_front();
-    Kept->second.erase(Kept->second.begin());
-    if (Kept->second.empty())
-      Idle.erase(Kept);
+  // Requires Mutex. The first connection of each endpoint is the one idle longest.
+  void closeIdleLongest() {
+    const auto Found = Idle.find(IdleByAge.front()->To);
+    IdleByAge.pop_front();
+    Found->second.erase(Found->second.begin());
+    if (Found->second.empty())
+      Idle.erase(Found);
   }
 
   std::mutex Mutex;
-  AgeList ByAge; ///< The idle connections, oldest first. Guarded by Mutex.
-  /// Places in ByAge, within an endpoint oldest first. Guarded by Mutex.
-  std::unordered_map<Endpoint, std::vector<AgeList::iterator>, EndpointHash> Idle;
+  IdleList IdleByAge; ///< All idle connections, oldest first. Guarded by Mutex.
+  /// Iterators into IdleByAge, oldest first within an endpoint. Guarded by Mutex.
+  std::unordered_map<Endpoint, std::vector<IdleList::iterator>, EndpointHash> Idle;
 };
 
 namespace {
 class ClientCall final : public HttpCall {
 public:
-  ClientCall(std::function<void(ConnectionPtr)> Keep, ConnectionPtr Used, Endpoint To,
+  ClientCall(std::function<void(ConnectionPtr)> ReturnIdle, ConnectionPtr Conn, Endpoint To,
              CallOptions Options)
-      : Keep(std::move(Keep)), Used(std::move(Used)), To(std::move(To)), Options(Options) {}
+      : ReturnIdle(std::move(ReturnIdle)), Conn(std::move(Conn)), To(std::move(To)),
+        Options(Options) {}
 
   ~ClientCall() override {
-    if (!Used)
+    if (!Conn)
       return;
-    if (Whole && Reusable)
-      Keep(Used);
+    if (Complete && Reusable)
+      ReturnIdle(Conn);
     else
-      Used->abort();
+      Conn->abort();
   }
 
   Awaitable<Result<Done>> writeHead(const HttpRequest &Head,
@@ -262,11 +264,11 @@
     else if (*Length > 0 || Head.Method == "POST" || Head.Method == "PUT")
       Message.set(http::field::content_length, std::to_string(*Length));
     http::request_serializer<http::empty_body> Serializer{Message};
-    Used->Stream.expires_after(Options.Timeout);
+    Conn->Stream.expires_after(Options.Timeout);
     Sent = true;
-    auto [Failure, Bytes] = co_await http::async_write_header(Used->Stream, Serializer, AsTuple);
+    auto [Failure, Bytes] = co_await http::async_write_header(Conn->Stream, Serializer, AsTuple);
     if (Failure)
-      co_return cut(Failure);
+      co_return responseLost(Failure);
     co_return Done{};
   }
 
@@ -274,18 +276,18 @@
     if (Piece.empty())
       co_return Done{};
     const asio::const_buffer Bytes(Piece.data(), Piece.size());
-    Used->Stream.expires_after(Options.Timeout);
+    Conn->Stream.expires_after(Options.Timeout);
     boost::system::error_code Failure;
     if (Chunked) {
       auto [Code, Count] =
-          co_await asio::async_write(Used->Stream, http::make_chunk(Bytes), AsTuple);
+          co_await asio::async_write(Conn->Stream, http::make_chunk(Bytes), AsTuple);
       Failure = Code;
     } else {
-      auto [Code, Count] = co_await asio::async_write(Used->Stream, Bytes, AsTuple);
+      auto [Code, Count] = co_await asio::async_write(Conn->Stream, Bytes, AsTuple);
       Failure = Code;
     }
     if (Failure)
-      co_return cut(Failure);
+      co_return responseLost(Failure);
     co_return Done{};
   }
 
@@ -293,9 +295,9 @@
     if (!Chunked)
       co_return Done{};
     auto [Failure, Count] =
-        co_await asio::async_write(Used->Stream, http::make_chunk_last(), AsTuple);
+        co_await asio::async_write(Conn->Stream, http::make_chunk_last(), AsTuple);
     if (Failure)
-      co_return cut(Failure);
+      co_return responseLost(Failure);
     co_return Done{};
   }
 
@@ -304,17 +306,17 @@
     Parser->body_limit(boost::none);
     if (IsHead)
       Parser->skip(true);
-    Used->Stream.expires_after(Options.Timeout);
+    Conn->Stream.expires_after(Options.Timeout);
     auto [Failure, Bytes] =
-        co_await http::async_read_header(Used->Stream, Used->Buffer, *Parser, AsTuple);
+        co_await http::async_read_header(Conn->Stream, Conn->Buffer, *Parser, AsTuple);
     if (Failure)
-      co_return cut(Failure);
+      co_return responseLost(Failure);
     HttpResponse Head;
     Head.Status = static_cast<int>(Parser->get().result_int());
     for (const auto &Field : Parser->get())
       Head.Headers.emplace_back(Field.name_string(), Field.value());
     Reusable = Parser->keep_alive();
-    Whole = Parser->is_done();
+    Complete = Parser->is_done();
     co_return Head;
   }
 
@@ -324,61 +326,61 @@
       Body.data = Room.data();
       Body.size = Room.size();
       Body.more = true;
-      Used->Stream.expires_after(Options.Timeout);
+      Conn->Stream.expires_after(Options.Timeout);
       auto [Failure, Bytes] =
-          co_await http::async_read(Used->Stream, Used->Buffer, *Parser, AsTuple);
+          co_await http::async_read(Conn->Stream, Conn->Buffer, *Parser, AsTuple);
       if (Failure && Failure != http::error::need_buffer)
-        co_return cut(Failure);
+        co_return responseLost(Failure);
       const size_t Read = Room.size() - Body.size;
       if (Read > 0)
         co_return Read;
     }
-    Whole = true;
+    Complete = true;
     co_return size_t{0};
   }
 
   bool anySent() const override { return Sent; }
 
 private:
-  Error cut(boost::system::error_code Failure) const {
+  Error responseLost(boost::system::error_code Failure) const {
     return {ErrorKind::UpstreamCut,
-            "the answer of " + toString(To) + " is lost: " + Failure.message()};
+            "no complete response from " + toString(To) + ": " + Failure.message()};
   }
 
-  std::function<void(ConnectionPtr)> Keep;
-  ConnectionPtr Used;
+  std::function<void(ConnectionPtr)> ReturnIdle;
+  ConnectionPtr Conn;
   Endpoint To;
   CallOptions Options;
   std::optional<http::response_parser<http::buffer_body>> Parser;
   bool Chunked = false;
   bool IsHead = false;
   bool Sent = false;
-  bool Whole = false;
+  bool Complete = false;
   bool Reusable = false;
 };
 } // namespace
 
-HttpClient::HttpClient(Executor Where, HttpClientLimits Limits, TrafficMeter *Meter)
-    : Inner(std::make_shared<Impl>(Where, Limits, Meter)) {}
+HttpClient::HttpClient(Executor Exec, HttpClientLimits Limits, TrafficMeter *Meter)
+    : Inner(std::make_shared<Impl>(Exec, Limits, Meter)) {}
 HttpClient::~HttpClient() = default;
 
 Awaitable<Result<std::shared_ptr<HttpCall>>> HttpClient::open(Endpoint To, CallOptions Options) {
   std::shared_ptr<Impl> Pool = Inner;
-  ConnectionPtr Used = Options.FreshConnection ? nullptr : Pool->takeIdle(To);
-  if (!Used) {
-    Result<ConnectionPtr> Made = co_await Pool->connect(To, Options.Timeout);
-    if (!ok(Made))
-      co_return error(Made);
-    Used = value(Made);
+  ConnectionPtr Conn = Options.FreshConnection ? nullptr : Pool->takeIdle(To);
+  if (!Conn) {
+    Result<ConnectionPtr> NewConn = co_await Pool->connect(To, Options.Timeout);
+    if (!ok(NewConn))
+      co_return error(NewConn);
+    Conn = value(NewConn);
   }
-  auto Keep = [Pool](ConnectionPtr Free) { Pool->keep(std::move(Free)); };
+  auto ReturnIdle = [Pool](ConnectionPtr Free) { Pool->returnIdle(std::move(Free)); };
   std::shared_ptr<HttpCall> Call =
-      std::make_shared<ClientCall>(std::move(Keep), std::move(Used), To, Options);
+      std::make_shared<ClientCall>(std::move(ReturnIdle), std::move(Conn), To, Options);
   co_return Call;
 }
 
 namespace {
-http::request<http::string_body> wholeMessage(const Endpoint &To, HttpRequest Request) {
+http::request<http::string_body> toBeastRequest(const Endpoint &To, HttpRequest Request) {
   http::request<http::string_body> Message{http::string_to_verb(Request.Method), Request.Target, 11,
                                            std::move(Request.Body)};
   if (Message.method() == http::verb::unknown)
@@ -391,7 +393,7 @@
   return Message;
 }
 
-HttpResponse wholeAnswer(http::response<http::string_body> Message) {
+HttpResponse toHttpResponse(http::response<http::string_body> Message) {
   HttpResponse Answer;
   Answer.Status = static_cast<int>(Message.result_int());
   for (const auto &Field : Message)
@@ -402,81 +404,83 @@
 } // namespace
 
 namespace {
-// A call on a connection, and the end of it at its deadline.
+// Registers the deadline of a call for the lifetime of this object.
 class TimedCall {
 public:
-  TimedCall(std::shared_ptr<Deadlines> Ending, ConnectionPtr Used, TimePoint At, Executor Where)
-      : Ending(std::move(Ending)), Used(std::move(Used)) {
-    ++this->Used->Call;
-    this->Used->InCall = true;
-    this->Used->TimedOut = false;
-    Mine = this->Ending->add(At, {this->Used, this->Used->Call, std::move(Where)});
+  TimedCall(std::shared_ptr<Deadlines> CallDeadlines, ConnectionPtr Conn, TimePoint At,
+            Executor Exec)
+      : CallDeadlines(std::move(CallDeadlines)), Conn(std::move(Conn)) {
+    ++this->Conn->Call;
+    this->Conn->InCall = true;
+    this->Conn->TimedOut = false;
+    OwnKey = this->CallDeadlines->add(At, {this->Conn, this->Conn->Call, std::move(Exec)});
   }
   ~TimedCall() {
-    Used->InCall = false;
-    Ending->remove(Mine);
+    Conn->InCall = false;
+    CallDeadlines->remove(OwnKey);
   }
   TimedCall(const TimedCall &) = delete;
   TimedCall &operator=(const TimedCall &) = delete;
 
 private:
-  const std::shared_ptr<Deadlines> Ending;
-  const ConnectionPtr Used;
-  Deadlines::Place Mine;
+  const std::shared_ptr<Deadlines> CallDeadlines;
+  const ConnectionPtr Conn;
+  Deadlines::EntryKey OwnKey;
 };
 
 using Serializer = http::request_serializer<http::string_body>;
 using Parser = http::response_parser<http::string_body>;
 
-// Writes what the socket takes now; would_block: there is more.
-boost::system::error_code writeNow(Connection &Used, Serializer &Out, TrafficCounts &Seen) {
+// Writes as much as the socket accepts without blocking; would_block if data remains.
+boost::system::error_code writeWithoutWaiting(Connection &Conn, Serializer &Out,
+                                              TrafficCounts &Counts) {
   boost::system::error_code Failure;
   while (!Failure && !Out.is_done())
     Out.next(Failure, [&](boost::system::error_code &Code, const auto &Buffers) {
-      const size_t Written = Used.Stream.socket().write_some(Buffers, Code);
-      Seen.BytesSent += Written;
+      const size_t Written = Conn.Stream.socket().write_some(Buffers, Code);
+      Counts.BytesSent += Written;
       Out.consume(Written);
     });
   return Failure;
 }
 
-// Parses what has been read. At the end of the stream \p Failure is eof.
-boost::system::error_code parseRead(Connection &Used, Parser &Into,
+// Parses the data in the buffer. \p Failure is the result of the read, eof at the end of stream.
+boost::system::error_code parseRead(Connection &Conn, Parser &Into,
                                     boost::system::error_code Failure) {
   if (Failure == asio::error::eof && Into.got_some()) {
     Failure = {};
     Into.put_eof(Failure);
     return Failure;
   }
-  while (!Failure && !Into.is_done() && Used.Buffer.size() > 0) {
-    const size_t Parsed = Into.put(Used.Buffer.data(), Failure);
-    Used.Buffer.consume(Parsed);
+  while (!Failure && !Into.is_done() && Conn.Buffer.size() > 0) {
+    const size_t Parsed = Into.put(Conn.Buffer.data(), Failure);
+    Conn.Buffer.consume(Parsed);
     if (Failure == http::error::need_more)
       return {};
   }
   return Failure;
 }
 
-// The request is written at once where the socket takes it; the answer usually comes in one piece.
-// So a call waits once, where timed operations for the write and the read would wait twice.
-Awaitable<boost::system::error_code> exchange(Connection &Used,
+// Sends the request and reads the response. A request that fits the socket's buffer is written
+// without waiting, so that a call usually waits only once, for its response.
+Awaitable<boost::system::error_code> exchange(Connection &Conn,
                                               const http::request<http::string_body> &Message,
-                                              Parser &Into, TrafficCounts &Seen) {
+                                              Parser &Into, TrafficCounts &Counts) {
   Serializer Out{Message};
   Into.eager(true);
-  boost::system::error_code Failure = writeNow(Used, Out, Seen);
-  while (Failure == asio::error::would_block && !Used.TimedOut) {
-    auto [Code] = co_await Used.Stream.socket().async_wait(tcp::socket::wait_write, AsTuple);
-    Failure = Code ? Code : writeNow(Used, Out, Seen);
+  boost::system::error_code Failure = writeWithoutWaiting(Conn, Out, Counts);
+  while (Failure == asio::error::would_block && !Conn.TimedOut) {
+    auto [Code] = co_await Conn.Stream.socket().async_wait(tcp::socket::wait_write, AsTuple);
+    Failure = Code ? Code : writeWithoutWaiting(Conn, Out, Counts);
   }
-  while (!Failure && !Into.is_done() && !Used.TimedOut) {
-    auto [Code, Bytes] =
-        co_await Used.Stream.socket().async_read_some(Used.Buffer.prepare(UsualAnswer), AsTuple);
-    Used.Buffer.commit(Bytes);
-    Seen.BytesReceived += Bytes;
-    Failure = parseRead(Used, Into, Code);
+  while (!Failure && !Into.is_done() && !Conn.TimedOut) {
+    auto [Code, Bytes] = co_await Conn.Stream.socket().async_read_some(
+        Conn.Buffer.prepare(ReadBufferBytes), AsTuple);
+    Conn.Buffer.commit(Bytes);
+    Counts.BytesReceived += Bytes;
+    Failure = parseRead(Conn, Into, Code);
   }
-  if (!Into.is_done() && (!Failure || Used.TimedOut))
+  if (!Into.is_done() && (!Failure || Conn.TimedOut))
     Failure = beast::error::timeout;
   co_return Failure;
 }
@@ -486,42 +490,42 @@
                                                  CallOptions Options) {
   std::shared_ptr<Impl> Pool = Inner;
   const TimePoint Deadline = Steady::now() + Options.Timeout;
-  ConnectionPtr Used = Options.FreshConnection ? nullptr : Pool->takeIdle(To);
-  const bool WasKept = Used != nullptr;
-  TrafficCounts Seen{1, 0, WasKept ? 0U : 1U, 0, 0};
-  const auto Note = [&](bool Answered) {
-    Seen.Failed = Answered ? 0 : 1;
+  ConnectionPtr Conn = Options.FreshConnection ? nullptr : Pool->takeIdle(To);
+  const bool Reused = Conn != nullptr;
+  TrafficCounts Counts{1, 0, Reused ? 0U : 1U, 0, 0};
+  const auto Record = [&](bool Answered) {
+    Counts.Failed = Answered ? 0 : 1;
     if (Pool->Meter && !Options.Kind.empty())
-      Pool->Meter->record(Options.Kind, Seen);
+      Pool->Meter->record(Options.Kind, Counts);
   };
-  if (!WasKept) {
-    Result<ConnectionPtr> Made = co_await Pool->connect(To, Options.Timeout);
-    if (!ok(Made)) {
-      Note(false);
-      co_return error(Made);
+  if (!Reused) {
+    Result<ConnectionPtr> NewConn = co_await Pool->connect(To, Options.Timeout);
+    if (!ok(NewConn)) {
+      Record(false);
+      co_return error(NewConn);
     }
-    Used = value(Made);
+    Conn = value(NewConn);
   }
   Parser Into;
   Into.body_limit(Options.MaxResponseBytes);
   Into.skip(Request.Method == "HEAD");
-  const auto Message = wholeMessage(To, std::move(Request));
+  const auto Message = toBeastRequest(To, std::move(Request));
   boost::system::error_code Failure;
   {
-    const TimedCall Timed(Pool->Ending, Used, Deadline, co_await asio::this_coro::executor);
-    Failure = co_await exchange(*Used, Message, Into, Seen);
+    const TimedCall Timed(Pool->CallDeadlines, Conn, Deadline, co_await asio::this_coro::executor);
+    Failure = co_await exchange(*Conn, Message, Into, Counts);
   }
-  Note(Into.is_done());
+  Record(Into.is_done());
   if (!Into.is_done()) {
-    if (WasKept && Used->TimedOut)
-      Pool->forget(To, Deadline - Options.Timeout);
-    Used->abort();
+    if (Reused && Conn->TimedOut)
+      Pool->closeIdleBefore(To, Deadline - Options.Timeout);
+    Conn->abort();
     co_return Error{ErrorKind::UpstreamCut,
-                    "the answer of " + toString(To) + " is lost: " + Failure.message()};
+                    "no complete response from " + toString(To) + ": " + Failure.message()};
   }
   if (Into.keep_alive() && !Failure)
-    Pool->keep(Used);
-  co_return wholeAnswer(Into.release());
+    Pool->returnIdle(Conn);
+  co_return toHttpResponse(Into.release());
 }
 
 } // namespace valveshelf
--- a/src/ownership/fence.cpp
+++ b/src/ownership/fence.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// The claimant's side of ownership. The order of the steps is what makes taking and extending
-// exclude each other; see valveshelf/authority.h.
+// Fencing by a claimant. The order of the steps ensures that a takeover and an extension of the
+// owner's authority cannot both succeed; see valveshelf/authority.h.
 #include "valveshelf/fence.h"
 
 #include "valveshelf/membership.h"
@@ -10,28 +10,29 @@
 namespace valveshelf {
 namespace {
 
-// What a guardian says to the claimant.
+// A guardian's answer to a claimant, or the result of probing it.
 struct GuardianAnswer {
-  bool Gone = false;    ///< The incarnation that promised is proven gone.
-  bool Heard = false;   ///< The incarnation that promised answered itself.
-  bool Refused = false; ///< It gives no more promises.
+  bool Gone = false;     ///< The incarnation that promised is proven gone.
+  bool Answered = false; ///< The incarnation that promised has answered.
+  bool Refused = false;  ///< The guardian gives no further promises.
   Milliseconds Wait{0};
   std::vector<wire::JournalEntry> Held;
 };
 
-Awaitable<Result<Done>> leaseIsGone(const StoreOps &Store, std::string LogId) {
+Awaitable<Result<Done>> checkLeaseLapsed(const StoreOps &Store, std::string LogId) {
   Result<StoreItems> Members = co_await Store.List("cell/member/");
   if (!ok(Members))
     co_return error(Members);
   for (const StoreItem &Item : value(Members).Items) {
     const Result<MemberInfo> Member = decodeMember(Item.Value);
     if (ok(Member) && value(Member).Log == LogId)
-      co_return Error{ErrorKind::Conflict, LogId + " has its lease"};
+      co_return Error{ErrorKind::Conflict, LogId + " still has its lease"};
   }
   co_return Done{};
 }
 
-Awaitable<GuardianAnswer> ask(const FenceTools &Tools, std::string LogId, wire::Guardian Guardian) {
+Awaitable<GuardianAnswer> requestRefusal(const FenceTools &Tools, std::string LogId,
+                                         wire::Guardian Guardian) {
   GuardianAnswer Answer;
   const Result<Endpoint> Address = parseEndpoint(Guardian.address());
   if (!ok(Address))
@@ -42,13 +43,13 @@
   Request.set_claimant(Tools.Claimant);
   Result<wire::RefuseReply> Reply = Error{};
   if (value(Address) == Tools.Address)
-    Reply = Tools.RefuseHere(Request);
+    Reply = Tools.RefuseLocally(Request);
   else
     Reply = co_await Tools.Peers.Refuse(value(Address), Request);
   if (ok(Reply)) {
     Answer.Refused = value(Reply).refused();
     Answer.Gone = value(Reply).gone();
-    Answer.Heard = !Answer.Gone;
+    Answer.Answered = !Answer.Gone;
     Answer.Wait = Milliseconds(value(Reply).wait_ms());
     Answer.Held.assign(value(Reply).unstored().begin(), value(Reply).unstored().end());
     co_return Answer;
@@ -60,33 +61,34 @@
   co_return Answer;
 }
 
-// Gets one guardian to refuse, and waits its last promise out.
+// Gets one guardian to refuse, and waits until its last promise has expired.
 Awaitable<Result<Done>> waitForRefusal(const FenceTools &Tools, std::string LogId,
                                        const std::vector<wire::Guardian> &Guardians) {
   for (const wire::Guardian &Guardian : Guardians) {
-    GuardianAnswer Answer = co_await ask(Tools, LogId, Guardian);
+    GuardianAnswer Answer = co_await requestRefusal(Tools, LogId, Guardian);
     if (!Answer.Refused)
       continue;
     co_await sleepFor(Answer.Wait + Tools.Margin);
     co_return Done{};
   }
-  co_return Error{ErrorKind::Conflict, "no guardian refused " + LogId};
+  co_return Error{ErrorKind::Conflict, "no guardian refused further promises to " + LogId};
 }
 
-// Gathers what the owner could not store, after it can add nothing more. Every guardian holds
-// all of it, so one that answers is enough; as long as one may be alive, it has to be heard.
+// Collects the entries that the owner could not store, once it can add no more. Every guardian
+// holds all of them, so one answer is enough. Fails if no guardian answers and one may be alive.
 Awaitable<Result<std::vector<wire::JournalEntry>>>
-gatherHeld(const FenceTools &Tools, std::string LogId,
-           const std::vector<wire::Guardian> &Guardians) {
+collectWitnessed(const FenceTools &Tools, std::string LogId,
+                 const std::vector<wire::Guardian> &Guardians) {
   bool AllGone = true;
   for (const wire::Guardian &Guardian : Guardians) {
-    GuardianAnswer Answer = co_await ask(Tools, LogId, Guardian);
-    if (Answer.Heard)
+    GuardianAnswer Answer = co_await requestRefusal(Tools, LogId, Guardian);
+    if (Answer.Answered)
       co_return std::move(Answer.Held);
     AllGone = AllGone && Answer.Gone;
   }
   if (!AllGone)
-    co_return Error{ErrorKind::Conflict, "a guardian of " + LogId + " can't be heard"};
+    co_return Error{ErrorKind::Conflict,
+                    "no guardian of " + LogId + " answered, and not all are proven gone"};
   co_return std::vector<wire::JournalEntry>{};
 }
 
@@ -98,14 +100,14 @@
     co_return error(View);
   if (value(View).Sealed)
     co_return Done{};
-  // A process that is gone sends nothing, whatever its lease and its promises say.
+  // A process that is gone cannot act, even if its lease and promises have not expired.
   const bool Gone = Tools.ProvenGone(LogId);
   if (!Gone) {
-    Result<Done> Lapsed = co_await leaseIsGone(Tools.Store, LogId);
+    Result<Done> Lapsed = co_await checkLeaseLapsed(Tools.Store, LogId);
     if (!ok(Lapsed))
       co_return Lapsed;
   }
-  // An owner without guardians never had more than its lease.
+  // Without guardians, the owner's authority came from its lease alone.
   std::vector<wire::JournalEntry> Held;
   const std::vector<wire::Guardian> Guardians = value(View).Guardians;
   if (!Guardians.empty()) {
@@ -114,7 +116,8 @@
       Refused = co_await waitForRefusal(Tools, LogId, Guardians);
     if (!ok(Refused))
       co_return Refused;
-    Result<std::vector<wire::JournalEntry>> Gathered = co_await gatherHeld(Tools, LogId, Guardians);
+    Result<std::vector<wire::JournalEntry>> Gathered =
+        co_await collectWitnessed(Tools, LogId, Guardians);
     if (!ok(Gathered))
       co_return error(Gathered);
     Held = std::move(value(Gathered));
--- a/src/valveshelf/serve_command.cpp
+++ b/src/valveshelf/serve_command.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-// `valveshelf serve`: an entry process of a cell on the users' platform.
+// `valveshelf serve`: runs an entry process of a cell on the users' platform.
 #include "options.h"
 
 #include "platform/codec.h"
@@ -18,10 +18,9 @@
 namespace asio = boost::asio;
 namespace {
 
-// So many times fewer idle connections are kept than the process may have descriptors. A quarter of
-// them made a scheduler of 1,100 workers, which holds a call on each and starts up to four tasks at
-// a time there, open 310 connections a second again.
-constexpr size_t IdleShare = 2;
+// Idle connections are limited to the descriptor limit divided by this. A lower limit makes the
+// scheduler of a large cell reopen connections for concurrent calls to its workers.
+constexpr size_t DescriptorsPerIdleConnection = 2;
 
 CellPlatform connect(HttpClient &Client, const CellSettings &Settings) {
   CellPlatform Platform;
@@ -49,15 +48,15 @@
   return Platform;
 }
 
-// A changed file is checked and reported; its addresses hold until the next start.
-void checkAgain(const std::string &Path) {
+// Validates the settings file on SIGHUP and logs the result; the running settings do not change.
+void checkChangedSettings(const std::string &Path) {
   Result<std::string> Text = readFile(Path);
   if (!ok(Text)) {
     logEvent(events::SettingsRefused, {{"why", "\"" + error(Text).Detail + "\""}});
     return;
   }
-  const auto Read = parseCellSettings(value(Text), Path);
-  if (const auto *Errors = std::get_if<SettingsErrors>(&Read))
+  const auto ParsedSettings = parseCellSettings(value(Text), Path);
+  if (const auto *Errors = std::get_if<SettingsErrors>(&ParsedSettings))
     logEvent(events::SettingsRefused, {{"why", "\"" + toString(Errors->front()) + "\""}});
   else
     logEvent(events::SettingsRead, {{"file", Path}});
@@ -67,7 +66,7 @@
   Signals.async_wait([&Signals, Path](boost::system::error_code Failure, int) {
     if (Failure)
       return;
-    checkAgain(Path);
+    checkChangedSettings(Path);
     awaitReload(Signals, Path);
   });
 }
@@ -76,16 +75,18 @@
   asio::io_context Io(static_cast<int>(Settings.Threads));
   const auto Guard = asio::make_work_guard(Io);
   const unsigned Threads = Settings.Threads;
-  // With one thread the context itself is a strand, and a cheaper one.
+  // A single-threaded io_context serializes handlers without the cost of a strand.
   const bool OneThread = Threads == 1;
   TrafficMeter Meter{Clock{}};
-  HttpClient Client(Io.get_executor(), {OneThread, Settings.MaxDescriptors / IdleShare}, &Meter);
-  const Executor Where = OneThread ? Executor(Io.get_executor()) : Executor(asio::make_strand(Io));
+  HttpClient Client(Io.get_executor(),
+                    {OneThread, Settings.MaxDescriptors / DescriptorsPerIdleConnection}, &Meter);
+  const Executor ProcessExecutor =
+      OneThread ? Executor(Io.get_executor()) : Executor(asio::make_strand(Io));
   const std::string Addresses = "callers=" + toString(Settings.Callers) +
                                 " peers=" + toString(Settings.Peers) +
                                 " store=" + toString(Settings.Store);
   CellPlatform Platform = connect(Client, Settings);
-  CellProcess Process(Where, std::move(Settings), Clock{}, std::move(Platform),
+  CellProcess Process(ProcessExecutor, std::move(Settings), Clock{}, std::move(Platform),
                       makeHttpCellLink(Client), Meter);
   if (Result<Done> Started = Process.start(); !ok(Started)) {
     std::cerr << "valveshelf serve: " << error(Started).Detail << "\n";
@@ -110,7 +111,7 @@
   Io.run();
   for (std::thread &Thread : Pool)
     Thread.join();
-  // Coroutines that still wait refer to what is about to be destroyed; the process ends here.
+  // Exits without destructors: suspended coroutines refer to objects that would be destroyed.
   std::cout.flush();
   std::_Exit(Exit);
 }
@@ -127,7 +128,7 @@
   if (!Parsed)
     return Exit;
   if (!Parsed->count("config")) {
-    std::cerr << Args[0] << ": --config FILE is needed\n";
+    std::cerr << Args[0] << ": missing required option --config FILE\n";
     return ExitUsage;
   }
   const std::string Path = (*Parsed)["config"].as<std::string>();
@@ -138,14 +139,14 @@
   }
   auto Settings = parseCellSettings(value(Text), Path);
   if (auto *Errors = std::get_if<SettingsErrors>(&Settings)) {
-    for (const SettingsError &Wrong : *Errors)
-      std::cerr << toString(Wrong) << "\n";
+    for (const SettingsError &Problem : *Errors)
+      std::cerr << toString(Problem) << "\n";
     return ExitUsage;
   }
-  CellSettings &Read = std::get<CellSettings>(Settings);
-  openLog(Read.LogLevel, Read.Member, {true, Read.LogLinesPerSecond});
+  CellSettings &ParsedSettings = std::get<CellSettings>(Settings);
+  openLog(ParsedSettings.LogLevel, ParsedSettings.Member, {true, ParsedSettings.LogLinesPerSecond});
   std::signal(SIGPIPE, SIG_IGN);
-  return serve(std::move(Read), Path);
+  return serve(std::move(ParsedSettings), Path);
 }
 
 } // namespace valveshelf
